--- a/crates/peridotdeck-core/src/dispatch.rs
+++ b/crates/peridotdeck-core/src/dispatch.rs
@@ -20,6 +20,7 @@
 pub mod attempt;
 pub mod budget;
 pub mod config;
+pub mod crashes;
 pub mod dispatcher;
 pub mod due;
 pub mod endpoint;
@@ -30,7 +31,6 @@
 pub mod prefix;
 pub mod refusal;
 pub mod registry;
-pub mod strikes;
 
 use std::net::Ipv4Addr;
 
@@ -43,7 +43,7 @@
 /// Digest of a part of prompts.
 pub type Prefix = u64;
 /// Digest of a data centre's name.
-pub type Place = u32;
+pub type DataCentre = u32;
 /// Address by which the nodes know each other.
 pub type Node = Ipv4Addr;
 
@@ -55,6 +55,6 @@
 
 /// Returns the digest of a data centre's name.
 #[must_use]
-pub fn place(name: &str) -> Place {
-    xxh3_64(name.as_bytes()) as Place
+pub fn data_centre(name: &str) -> DataCentre {
+    xxh3_64(name.as_bytes()) as DataCentre
 }
--- a/crates/peridotdeck-core/src/dispatch/attempt.rs
+++ b/crates/peridotdeck-core/src/dispatch/attempt.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub enum Placement {
     /// Send it.
-    Send(Order),
+    Send(Assignment),
     /// Ask again after a while.
     Wait(Delay),
     /// Tell the caller.
@@ -26,7 +26,7 @@
 /// Why a request waits at its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Obstacle {
+pub enum WaitCause {
     /// The configuration is not known any more.
     Unconfigured,
     /// No endpoint may take it.
@@ -43,7 +43,7 @@
     /// Time until the next decision.
     pub time: Duration,
     /// Why.
-    pub cause: Obstacle,
+    pub cause: WaitCause,
     /// Requests at the best endpoint; 0 if there is none.
     pub running: u32,
     /// Expected time to its answer; zero if there is none.
@@ -53,7 +53,7 @@
 impl Delay {
     /// Returns the time until the next look for an endpoint.
     #[must_use]
-    pub fn short(cause: Obstacle) -> Self {
+    pub fn poll(cause: WaitCause) -> Self {
         /// Pause between two looks.
         const LOOK: Duration = Duration::from_millis(20);
         Self {
@@ -67,7 +67,7 @@
 
 /// An attempt to make.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Assignment {
     /// The attempt, to be given back when it ends.
     pub attempt: Attempt,
     /// Where to send it.
@@ -79,7 +79,7 @@
     /// Rank at the endpoint; 0 is served first.
     pub rank: u8,
     /// Time without an answer after which another endpoint should be asked.
-    pub hedge: Option<Duration>,
+    pub hedge_after: Option<Duration>,
     /// What was expected of the endpoint.
     pub estimate: Estimate,
     /// Work that was known of at the endpoint.
@@ -155,7 +155,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Place it again.
-    Again,
+    Retry,
     /// Nothing more can be done; an answer that is there is passed on as it is.
     GiveUp(Refusal),
 }
--- a/crates/peridotdeck-core/src/dispatch/budget.rs
+++ b/crates/peridotdeck-core/src/dispatch/budget.rs
@@ -51,13 +51,13 @@
     }
 
     /// Counts a caller's request for a service.
-    pub fn note(&mut self, service: &str, now: Time) {
+    pub fn count_request(&mut self, service: &str, now: Time) {
         self.slice(service, now).1 += 1;
     }
 
     /// Takes one repeat and returns whether this node's share allowed it.
-    pub fn take(&mut self, service: &str, nodes: usize, now: Time) -> bool {
-        let (requests, repeats) = self.sum(service, now);
+    pub fn take_retry(&mut self, service: &str, nodes: usize, now: Time) -> bool {
+        let (requests, repeats) = self.totals(service, now);
         let fixed = self.bound.fixed / nodes.max(1) as f64;
         let allowed = (self.bound.ratio * f64::from(requests) + fixed) * CAUTION;
         if f64::from(repeats) + 1.0 > allowed {
@@ -69,7 +69,7 @@
 
     /// Returns requests and repeats within the last window.
     #[must_use]
-    pub fn sum(&self, service: &str, now: Time) -> (u32, u32) {
+    pub fn totals(&self, service: &str, now: Time) -> (u32, u32) {
         let newest = self.number(now);
         let Some(count) = self.counts.iter().find(|each| each.service == service) else {
             return (0, 0);
--- a/crates/peridotdeck-core/src/dispatch/dispatcher.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher.rs
@@ -1,14 +1,14 @@
 //! All decisions of a node that places its own callers' requests.
 //!
 //! The state is here, with what the publisher says; what is done with it stands in modules by its
-//! cause: a request (`placing`), the end of an attempt (`ends`), pauses of streams (`pauses`), a peer
-//! (`peers`) or time (`upkeep`); who waits is decided in `waiting`.
+//! cause: a request (`placing`), the end of an attempt (`outcomes`), pauses of streams (`pauses`), a peer
+//! (`peers`) or time (`maintenance`); who waits is decided in `waiting`.
 
-mod ends;
+mod maintenance;
+mod outcomes;
 mod pauses;
 mod peers;
 mod placing;
-mod upkeep;
 mod waiting;
 
 use std::time::Duration;
@@ -16,15 +16,16 @@
 use rand::{SeedableRng, rngs::SmallRng};
 
 use super::{
-    Key, Node, Place,
+    DataCentre, Key, Node,
     budget::{Bound, Budget},
-    due::{Errand, Inquiry},
+    crashes::List,
+    data_centre,
+    due::{CacheQuery, SnapshotRequest},
     endpoint::State,
     fleet::Fleet,
-    mean, place,
+    mean,
     prefix::Index,
     registry::{self, Change, Registry, Report},
-    strikes::List,
 };
 use crate::id::{Fingerprint, Time};
 
@@ -46,25 +47,25 @@
     /// Address by which peers know this node.
     pub node: Node,
     /// Its data centre.
-    pub place: String,
+    pub data_centre: String,
     /// All data centres with their regions, sorted.
     pub regions: Vec<(String, String)>,
     /// Nodes to begin with.
     pub seeds: Vec<Node>,
     /// Bound on repeats.
-    pub repeats: Bound,
+    pub retry_bound: Bound,
     /// Random number of the process.
     pub incarnation: u64,
     /// Time after its last use in which reading a part of a prompt again is paid for.
-    pub reuse: Duration,
+    pub reuse_window: Duration,
     /// Whether endpoints may hold prompts from before this process: it is no first start.
-    pub inherits: bool,
+    pub is_restart: bool,
 }
 
 /// A peer that knows a newer revision.
 #[derive(Clone, Copy, Debug)]
 struct Ahead {
-    errand: Errand,
+    request: SnapshotRequest,
     revision: u64,
     near: bool,
 }
@@ -87,7 +88,7 @@
     prefixes: Index,
     fleet: Fleet,
     budget: Budget,
-    strikes: List,
+    crashes: List,
     suspects: Vec<Suspect>,
     plain: mean::Table,
     whole: mean::Table,
@@ -95,7 +96,7 @@
     pauses: mean::Table,
     ahead: Vec<(Ahead, Time)>,
     clean_up_due: Time,
-    inquiries: Vec<Inquiry>,
+    cache_queries: Vec<CacheQuery>,
     rng: SmallRng,
 }
 
@@ -103,12 +104,12 @@
     /// Starts a node that knows nothing but its options.
     #[must_use]
     pub fn new(options: Options, now: Time) -> Self {
-        let region = region(&options.regions, &options.place);
-        let here = place(&options.place);
+        let region = region(&options.regions, &options.data_centre);
+        let here = data_centre(&options.data_centre);
         let fleet = Fleet::new(
             options.node,
             here,
-            siblings(&options.regions, &options.place),
+            siblings(&options.regions, &options.data_centre),
             options.incarnation,
             &options.seeds,
             now,
@@ -119,8 +120,8 @@
             states: Vec::new(),
             prefixes: Index::default(),
             fleet,
-            budget: Budget::new(options.repeats),
-            strikes: List::default(),
+            budget: Budget::new(options.retry_bound),
+            crashes: List::default(),
             suspects: Vec::new(),
             plain: mean::Table::new(PLAIN_MS),
             whole: mean::Table::new(WHOLE_MS),
@@ -128,7 +129,7 @@
             pauses: mean::Table::new(0.0),
             ahead: Vec::new(),
             clean_up_due: now,
-            inquiries: Vec::new(),
+            cache_queries: Vec::new(),
             rng: SmallRng::seed_from_u64(options.incarnation),
             options,
         }
@@ -154,7 +155,7 @@
 
     /// Returns the number of prompt prefixes whose place is known.
     #[must_use]
-    pub fn prefixes(&self) -> usize {
+    pub fn prefix_count(&self) -> usize {
         self.prefixes.len()
     }
 
@@ -181,12 +182,12 @@
     }
 
     /// Notes that the publisher cannot be read.
-    pub fn note_trouble(&mut self, now: Time) {
+    pub fn note_publisher_failure(&mut self, now: Time) {
         self.registry.note_trouble(now);
     }
 
     /// Takes in what the publisher reports.
-    pub fn publish(&mut self, report: Report, now: Time) -> Change {
+    pub fn apply_report(&mut self, report: Report, now: Time) -> Change {
         let change = self.registry.apply(report, now);
         self.follow(&change, now);
         change
@@ -203,7 +204,7 @@
         if *change != Change::default() {
             self.fleet.touch();
         }
-        let first = self.states.is_empty() && self.options.inherits;
+        let first = self.states.is_empty() && self.options.is_restart;
         for endpoint in &change.removed {
             self.remove(endpoint);
         }
@@ -217,7 +218,7 @@
                     state.foreign = self.fleet.load(key);
                     if first {
                         let address = endpoint.address;
-                        self.inquiries.push(Inquiry { key, address });
+                        self.cache_queries.push(CacheQuery { key, address });
                     }
                     self.states.insert(at, state);
                 }
@@ -254,10 +255,10 @@
 }
 
 /// Returns the other data centres of a data centre's region.
-fn siblings(regions: &[(String, String)], here: &str) -> Vec<Place> {
+fn siblings(regions: &[(String, String)], here: &str) -> Vec<DataCentre> {
     let home = region(regions, here);
     let others = regions
         .iter()
         .filter(|(each, region)| each != here && *region == home);
-    others.map(|(each, _)| place(each)).collect()
+    others.map(|(each, _)| data_centre(each)).collect()
 }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/upkeep.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/maintenance.rs
@@ -6,7 +6,7 @@
 use crate::{
     dispatch::{
         Key, Prefix,
-        due::{Due, Inquiry, Probe},
+        due::{CacheQuery, Due, Probe},
         fleet::Heard,
     },
     id::Time,
@@ -40,15 +40,15 @@
         self.follow_loads(&heard);
         if self.fleet.is_due(now) {
             let status = self.status(now);
-            due.beats = self.fleet.beats(&status, now);
+            due.heartbeats = self.fleet.beats(&status, now);
         }
         due.probes = self.probes(now);
-        due.inquiries = self.inquiries();
-        due.errands = self.errands(now);
+        due.cache_queries = self.cache_queries();
+        due.snapshot_requests = self.snapshot_requests(now);
         if now >= self.clean_up_due {
             self.clean_up_due = now + CLEAN_UP;
             self.prefixes.expire(now);
-            self.strikes.expire(now);
+            self.crashes.expire(now);
             self.suspects
                 .retain(|suspect| now.saturating_sub(suspect.at) < CRASH);
         }
@@ -57,24 +57,24 @@
 
     /// Memory is listed by endpoints with a model only, which the configuration tells; the list
     /// delays the endpoint, so a node of a large fleet asks only some, near ones first.
-    fn inquiries(&mut self) -> Vec<Inquiry> {
+    fn cache_queries(&mut self) -> Vec<CacheQuery> {
         let Some(config) = self.registry.config() else {
             return Vec::new();
         };
-        let wanted = std::mem::take(&mut self.inquiries);
+        let wanted = std::mem::take(&mut self.cache_queries);
         let states = wanted
             .iter()
-            .filter_map(|inquiry| Some((inquiry, self.state(inquiry.key)?)));
-        let mut due: Vec<(bool, Inquiry)> = states
+            .filter_map(|query| Some((query, self.state(query.key)?)));
+        let mut due: Vec<(bool, CacheQuery)> = states
             .filter(|(_, state)| {
                 let service = config.service(&state.info.service);
                 service.is_some_and(|service| service.model.is_some())
             })
-            .map(|(inquiry, state)| (state.info.place != self.options.place, *inquiry))
+            .map(|(query, state)| (state.info.place != self.options.data_centre, *query))
             .collect();
         due.sort_by_key(|(far, _)| *far);
         due.truncate(MOST_INQUIRIES);
-        due.into_iter().map(|(_, inquiry)| inquiry).collect()
+        due.into_iter().map(|(_, query)| query).collect()
     }
 
     fn probes(&mut self, now: Time) -> Vec<Probe> {
@@ -92,7 +92,7 @@
     }
 
     /// Takes in what an endpoint's memory holds.
-    pub fn inventory(&mut self, key: Key, parts: &[Prefix], now: Time) {
+    pub fn record_cached(&mut self, key: Key, parts: &[Prefix], now: Time) {
         if self.find(key).is_ok() {
             for part in parts {
                 self.prefixes.note(*part, key, now);
@@ -101,7 +101,7 @@
     }
 
     /// Takes in the result of a probe.
-    pub fn probed(&mut self, key: Key, accepted: bool, now: Time) {
+    pub fn record_probe(&mut self, key: Key, accepted: bool, now: Time) {
         let Some(state) = self.state_mut(key) else {
             return;
         };
@@ -118,7 +118,7 @@
         let culprits: Vec<Suspect> = self.suspects.extract_if(.., crashed).collect();
         for suspect in culprits {
             if now.saturating_sub(suspect.at) < CRASH {
-                self.strikes.add(suspect.fingerprint, key, now);
+                self.crashes.record(suspect.fingerprint, key, now);
                 self.fleet.touch();
             }
         }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/ends.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/outcomes.rs
@@ -7,10 +7,10 @@
     Verdict,
     dispatch::{
         attempt::{Attempt, End, Next},
+        crashes,
         endpoint::Load,
         flight::Flight,
         refusal::Cause,
-        strikes,
     },
     id::Time,
 };
@@ -26,7 +26,13 @@
 
 impl Dispatcher {
     /// Notes that the answer has begun: the prompt is read.
-    pub fn note_read(&mut self, attempt: &mut Attempt, plain: bool, flight: &Flight, now: Time) {
+    pub fn record_answer_start(
+        &mut self,
+        attempt: &mut Attempt,
+        plain: bool,
+        flight: &Flight,
+        now: Time,
+    ) {
         let observed = now.saturating_sub(attempt.sent);
         let unread = Load {
             unread: attempt.load.unread,
@@ -85,50 +91,50 @@
                 fingerprint: flight.fingerprint,
                 at: now,
             }),
-            End::Finished => self.strikes.clear(flight.fingerprint),
+            End::Finished => self.crashes.clear(flight.fingerprint),
             _ => {}
         }
     }
 
     /// Decides whether a slow attempt should be given up for another endpoint, and pays for that.
-    pub fn may_hedge(&mut self, flight: &Flight, now: Time) -> bool {
+    pub fn try_hedge(&mut self, flight: &Flight, now: Time) -> bool {
         let nodes = self.fleet.size(self.options.regions.len(), now);
         flight.may_run_after(flight.runs + 1)
-            && flight.left(now) > WORTHWHILE
+            && flight.time_left(now) > WORTHWHILE
             && self
                 .states
                 .iter()
                 .any(|state| self.admits(state, flight).is_ok())
-            && self.budget.take(&flight.service, nodes, now)
+            && self.budget.take_retry(&flight.service, nodes, now)
     }
 
     /// Decides what follows an attempt without a whole answer.
-    pub fn next(&mut self, flight: &mut Flight, end: End, now: Time) -> Next {
+    pub fn next_step(&mut self, flight: &mut Flight, end: End, now: Time) -> Next {
         let nodes = self.fleet.size(self.options.regions.len(), now);
         match end.verdict() {
             Verdict::NotRun => {
-                let worthwhile = flight.left(now) > WORTHWHILE;
+                let worthwhile = flight.time_left(now) > WORTHWHILE;
                 let sent = end != End::Unreachable;
                 flight.rejections += u32::from(sent);
                 let bearable = flight.rejections <= MAX_REJECTIONS;
                 if worthwhile
                     && bearable
-                    && (!sent || self.budget.take(&flight.service, nodes, now))
+                    && (!sent || self.budget.take_retry(&flight.service, nodes, now))
                 {
-                    return Next::Again;
+                    return Next::Retry;
                 }
                 let wait = self.return_time(flight, now);
                 Next::GiveUp(give_up(flight, Cause::Rejected, Some(wait)))
             }
             Verdict::MayHaveRun | Verdict::Ran => {
                 flight.runs += 1;
-                let struck = self.strikes.count(flight.fingerprint) >= strikes::LIMIT;
+                let struck = self.crashes.count(flight.fingerprint) >= crashes::LIMIT;
                 if flight.may_run_after(flight.runs)
-                    && flight.left(now) > WORTHWHILE
+                    && flight.time_left(now) > WORTHWHILE
                     && !struck
-                    && self.budget.take(&flight.service, nodes, now)
+                    && self.budget.take_retry(&flight.service, nodes, now)
                 {
-                    return Next::Again;
+                    return Next::Retry;
                 }
                 let cause = if end == End::TimedOut {
                     Cause::TimedOut
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/pauses.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/pauses.rs
@@ -10,7 +10,7 @@
     /// is; the stream counts once, and at its end otherwise.
     ///
     /// The running value approaches the longest pause that nine of ten streams stay within.
-    pub fn note_pause(&mut self, service: &str, pause: Duration) -> bool {
+    pub fn record_pause(&mut self, service: &str, pause: Duration) -> bool {
         /// Change for a stream with a longer pause, in milliseconds.
         const UP: f64 = 9.0;
         let value = self.pauses.value_mut(service);
@@ -22,7 +22,7 @@
     }
 
     /// Learns from a whole stream at one endpoint that had no long pause.
-    pub fn note_steady(&mut self, service: &str) {
+    pub fn record_steady_stream(&mut self, service: &str) {
         /// Change for such a stream, in milliseconds.
         const DOWN: f64 = 1.0;
         let value = self.pauses.value_mut(service);
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
@@ -7,11 +7,10 @@
 use super::{Ahead, Dispatcher};
 use crate::{
     dispatch::{
-        Node,
-        due::Errand,
+        Node, data_centre,
+        due::SnapshotRequest,
         endpoint::Load,
         fleet::{Heard, Status},
-        place,
         registry::Area,
     },
     id::Time,
@@ -28,10 +27,10 @@
 
 impl Dispatcher {
     /// Takes in a peer's beat and returns the answer that it wants, if any, and whether it is new.
-    pub fn hear(&mut self, beat: &beat::Beat, now: Time) -> (Option<beat::Beat>, bool) {
+    pub fn receive(&mut self, beat: &beat::Beat, now: Time) -> (Option<beat::Beat>, bool) {
         let heard = self.fleet.hear(beat, now);
         self.follow_loads(&heard);
-        let near = beat.place == place(&self.options.place);
+        let near = beat.place == data_centre(&self.options.data_centre);
         for holding in &beat.holdings {
             if self.find(holding.endpoint).is_err() {
                 continue;
@@ -49,7 +48,8 @@
             }
         }
         for strike in &beat.strikes {
-            self.strikes.add(strike.fingerprint, strike.endpoint, now);
+            self.crashes
+                .record(strike.fingerprint, strike.endpoint, now);
         }
         self.note_ahead(beat, now);
         let node = Node::from(beat.node);
@@ -75,7 +75,7 @@
 
     fn note_ahead(&mut self, beat: &beat::Beat, now: Time) {
         let node = Node::from(beat.node);
-        let near = beat.place == place(&self.options.place);
+        let near = beat.place == data_centre(&self.options.data_centre);
         for (area, revision) in [(Area::Policy, beat.policy), (Area::Roster, beat.roster)] {
             let known = self.registry.revision(area).changed;
             if revision == known {
@@ -84,16 +84,16 @@
             if revision <= known {
                 continue;
             }
-            let errand = Errand { node, area, known };
+            let request = SnapshotRequest { node, area, known };
             let ahead = Ahead {
-                errand,
+                request,
                 revision,
                 near,
             };
             match self
                 .ahead
                 .iter_mut()
-                .find(|(each, _)| each.errand.area == area)
+                .find(|(each, _)| each.request.area == area)
             {
                 // The way to a node of the own data centre is shorter, and not paid for.
                 Some((each, _)) if near && !each.near => *each = ahead,
@@ -126,7 +126,7 @@
             .collect();
         health.sort_unstable_by_key(|each| std::cmp::Reverse(each.bad));
         health.truncate(MOST_HEALTH);
-        let strikes = self.strikes.news(now).take(MOST_STRIKES);
+        let strikes = self.crashes.recent(now).take(MOST_STRIKES);
         Status {
             policy: self.registry.revision(Area::Policy).changed,
             roster: self.registry.revision(Area::Roster).changed,
@@ -142,17 +142,17 @@
     }
 
     /// What peers know better for a while: this node's own way to the publisher may be cut.
-    pub(super) fn errands(&mut self, now: Time) -> Vec<Errand> {
+    pub(super) fn snapshot_requests(&mut self, now: Time) -> Vec<SnapshotRequest> {
         let own = if self.is_watcher(now) { BEHIND } else { FOLLOW };
         let late = |(ahead, since): &mut (Ahead, Time)| {
             let patience = if ahead.near { own } else { own.max(FAR) };
             now.saturating_sub(*since) >= patience
         };
         let due: Vec<(Ahead, Time)> = self.ahead.extract_if(.., late).collect();
-        let errands = due.into_iter().map(|(ahead, _)| ahead);
-        errands
-            .filter(|ahead| ahead.revision > self.registry.revision(ahead.errand.area).changed)
-            .map(|ahead| ahead.errand)
+        let snapshot_requests = due.into_iter().map(|(ahead, _)| ahead);
+        snapshot_requests
+            .filter(|ahead| ahead.revision > self.registry.revision(ahead.request.area).changed)
+            .map(|ahead| ahead.request)
             .collect()
     }
 }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
@@ -11,16 +11,15 @@
 use crate::{
     dispatch::{
         Key,
-        attempt::{Attempt, Delay, Obstacle, Order, Placement},
+        attempt::{Assignment, Attempt, Delay, Placement, WaitCause},
         config::{Service, Share},
+        crashes, data_centre,
         endpoint::{Load, State},
-        flight::{Ask, Flight},
-        place,
+        flight::{DecodedRequest, Flight},
         placement::{Bar, Estimate, Held, View, is_urgent},
         prefix::{Index, REFRESH},
         refusal::{Cause, Refusal},
         registry::Area,
-        strikes,
     },
     id::{Fingerprint, Time},
 };
@@ -41,38 +40,41 @@
     /// Why it is refused.
     pub fn admit(
         &mut self,
-        ask: Ask,
+        request: DecodedRequest,
         fingerprint: Fingerprint,
         now: Time,
     ) -> Result<Flight, Refusal> {
         let Some(config) = self.registry.config().cloned() else {
-            let patience = ask.patience.unwrap_or(BLIND);
+            let patience = request.max_wait.unwrap_or(BLIND);
             let wait = self.spread(patience.mul_f64(RETURN_PART).min(BLIND));
             return Err(Refusal::not_run(Cause::Unconfigured, Some(wait)));
         };
         let refuse = |cause| Err(Refusal::not_run(cause, None));
-        let Some(route) = config.route(&ask.host, &ask.path) else {
+        let Some(route) = config.route(&request.host, &request.path) else {
             return refuse(Cause::NoRoute);
         };
-        let holder = ask.key.as_deref().and_then(|key| config.organisation(key));
+        let holder = request
+            .key
+            .as_deref()
+            .and_then(|key| config.organisation(key));
         if holder.is_none() && !route.public && !config.organisations.is_empty() {
             return refuse(Cause::BadKey);
         }
         let organisation = if route.public { None } else { holder.cloned() };
-        if self.strikes.count(fingerprint) >= strikes::LIMIT {
+        if self.crashes.count(fingerprint) >= crashes::LIMIT {
             return refuse(Cause::Quarantined);
         }
-        let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+        let patience = request.max_wait.unwrap_or(route.timeout).min(route.timeout);
         let service = self.choose_service(&route.split);
-        self.budget.note(&service, now);
+        self.budget.count_request(&service, now);
         let rank = config.rank(route, organisation.as_deref());
         Ok(Flight {
-            id: ask.id,
+            id: request.id,
             rank,
             organisation,
-            prompt: ask.prompt,
+            prompt: request.prompt,
             fingerprint,
-            until: now + patience,
+            deadline: now + patience,
             service,
             ..Flight::new(route.clone(), config.version, now)
         })
@@ -99,11 +101,11 @@
 
     /// Decides what to do with a request now.
     pub fn place(&mut self, flight: &mut Flight, now: Time) -> Placement {
-        if flight.left(now).is_zero() {
+        if flight.time_left(now).is_zero() {
             return Placement::Refuse(give_up(flight, Cause::TimedOut, None), Vec::new());
         }
         let Some(config) = self.registry.config().cloned() else {
-            return Placement::Wait(Delay::short(Obstacle::Unconfigured));
+            return Placement::Wait(Delay::poll(WaitCause::Unconfigured));
         };
         let unknown = Service::default();
         let service = config.service(&flight.service).unwrap_or(&unknown);
@@ -163,7 +165,7 @@
 
     /// Returns how many tokens of a prompt's beginning were used anywhere lately.
     fn recent(&self, flight: &Flight, now: Time) -> u32 {
-        let lately = |at: Time| now.saturating_sub(at) < self.options.reuse + REFRESH;
+        let lately = |at: Time| now.saturating_sub(at) < self.options.reuse_window + REFRESH;
         let mut parts = flight.prompt.shared.iter().rev();
         let recent = parts.find(|part| self.prefixes.last_use(part.prefix).is_some_and(lately));
         recent.map_or(0, |part| part.tokens)
@@ -198,7 +200,7 @@
             recent: self.recent(flight, now),
             gap: self.gap(name),
             sensitive: self.is_sensitive(&flight.route, name),
-            place: &self.options.place,
+            place: &self.options.data_centre,
             region: &self.region,
             plain_ms: self.plain.value(name),
             whole_ms: self.whole.value(name),
@@ -274,9 +276,9 @@
         if rate <= 0.0 || !state.is_cold(now) {
             return Ok(());
         }
-        let here = place(&self.options.place);
+        let here = data_centre(&self.options.data_centre);
         let senders = (SENDERS.0 + SENDERS.1 * rate) as usize;
-        if state.info.place != self.options.place
+        if state.info.place != self.options.data_centre
             || self.fleet.is_isolated(now)
             || !self.fleet.is_among(senders, key, now)
         {
@@ -295,8 +297,8 @@
         flight: &mut Flight,
         service: &Service,
         now: Time,
-    ) -> Order {
-        flight.waiting = None;
+    ) -> Assignment {
+        flight.waiting_since = None;
         flight.tried.push(key);
         if service.model.is_some() {
             for part in &flight.prompt.shared {
@@ -309,7 +311,7 @@
         self.fleet.touch();
         let source = estimate.source.and_then(|source| self.state(source));
         let source = source.map(|state| state.info.address);
-        let hedge = hedge(flight, &estimate);
+        let hedge_after = hedge_after(flight, &estimate);
         let roster = self.registry.revision(Area::Roster).changed;
         let roster_age = self.registry.age(Area::Roster, now);
         let load = Load {
@@ -322,7 +324,7 @@
             .expect("only known endpoints are ranked");
         let before = state.load();
         state.own.add(load);
-        Order {
+        Assignment {
             attempt: Attempt {
                 key,
                 load,
@@ -333,7 +335,7 @@
             instance: state.info.id.clone(),
             source,
             rank: flight.rank,
-            hedge,
+            hedge_after,
             estimate,
             load: before,
             roster,
@@ -343,7 +345,7 @@
 }
 
 /// Returns the time after which a repeatable request is better asked elsewhere.
-fn hedge(flight: &Flight, estimate: &Estimate) -> Option<Duration> {
+fn hedge_after(flight: &Flight, estimate: &Estimate) -> Option<Duration> {
     let target = flight.route.target;
     let expected = estimate.first.mul_f64(HEDGE_FACTOR);
     let (least, most) = (target.mul_f64(HEDGE_PARTS.0), target.mul_f64(HEDGE_PARTS.1));
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
@@ -8,7 +8,7 @@
 use crate::{
     dispatch::{
         Key,
-        attempt::{Delay, Obstacle, Placement},
+        attempt::{Delay, Placement, WaitCause},
         config::Service,
         flight::Flight,
         placement::{Bar, Estimate},
@@ -67,15 +67,15 @@
         let running = self.state(key)?.load().running;
         let expected = estimate.first;
         let cause = if f64::from(running) > f64::from(model.slots) * BATCH_PART {
-            Obstacle::Full
+            WaitCause::Full
         } else if waited + expected > target && expected > target.mul_f64(SPARE_PART) {
-            Obstacle::Late
+            WaitCause::Late
         } else {
             return None;
         };
         // Requests that look again at different times do not meet at the same engine.
         let stretch = 1.0 + 2.0 * self.rng.random::<f64>();
-        let short = Delay::short(cause);
+        let short = Delay::poll(cause);
         Some(Delay {
             time: short.time.mul_f64(stretch),
             running,
@@ -105,10 +105,10 @@
     /// Waits for an endpoint that may take a request, or refuses it after a while.
     pub(super) fn hold(&mut self, flight: &mut Flight, bars: Vec<Bar>, now: Time) -> Placement {
         let target = flight.route.target.mul_f64(HOLD_PART).max(HOLD);
-        let since = *flight.waiting.get_or_insert(now);
+        let since = *flight.waiting_since.get_or_insert(now);
         let hopeless = bars.iter().all(|bar| *bar == Bar::Region) && !bars.is_empty();
-        if !hopeless && now.saturating_sub(since) < target.min(flight.left(now)) {
-            return Placement::Wait(Delay::short(Obstacle::NoEndpoint));
+        if !hopeless && now.saturating_sub(since) < target.min(flight.time_left(now)) {
+            return Placement::Wait(Delay::poll(WaitCause::NoEndpoint));
         }
         let wait = self.return_time(flight, now);
         Placement::Refuse(give_up(flight, Cause::NoEndpoint, Some(wait)), bars)
@@ -121,7 +121,7 @@
 
     /// Returns spread over the time in which endpoints come back, within what callers heed.
     pub(super) fn return_time(&mut self, flight: &Flight, now: Time) -> Duration {
-        let most = flight.left(now).mul_f64(RETURN_PART).min(RETURN.1);
+        let most = flight.time_left(now).mul_f64(RETURN_PART).min(RETURN.1);
         let least = RETURN.0.min(most);
         least + most.saturating_sub(least).mul_f64(self.rng.random::<f64>())
     }
--- a/crates/peridotdeck-core/src/dispatch/due.rs
+++ b/crates/peridotdeck-core/src/dispatch/due.rs
@@ -19,11 +19,11 @@
 }
 
 /// An endpoint whose memory should be listed.
-pub type Inquiry = Probe;
+pub type CacheQuery = Probe;
 
 /// Something to fetch from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Errand {
+pub struct SnapshotRequest {
     /// Who has it.
     pub node: Node,
     /// What.
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Due {
     /// Endpoints whose memory should be listed.
-    pub inquiries: Vec<Inquiry>,
+    pub cache_queries: Vec<CacheQuery>,
     /// Beats to send.
-    pub beats: Vec<(Node, beat::Beat)>,
+    pub heartbeats: Vec<(Node, beat::Beat)>,
     /// Connections to try.
     pub probes: Vec<Probe>,
     /// What peers know better.
-    pub errands: Vec<Errand>,
+    pub snapshot_requests: Vec<SnapshotRequest>,
     /// Endpoints whose time to come back is over.
     pub removed: Vec<registry::Endpoint>,
     /// Peers that fell silent.
--- a/crates/peridotdeck-core/src/dispatch/fleet.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet.rs
@@ -16,7 +16,7 @@
 use peridotdeck_wire::beat;
 use telling::round_time;
 
-use super::{Key, Node, Place, Prefix, endpoint::Load};
+use super::{DataCentre, Key, Node, Prefix, endpoint::Load};
 use crate::{id::Time, rank};
 
 /// Silence after which a peer of the own data centre counts as dead.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 struct Peer {
     node: Node,
-    place: Option<Place>,
+    place: Option<DataCentre>,
     incarnation: u64,
     sequence: u64,
     heard: Option<Time>,
@@ -57,7 +57,7 @@
 /// What another data centre told of its nodes together.
 #[derive(Clone, Debug)]
 struct Remote {
-    place: Place,
+    place: DataCentre,
     heard: Time,
     loads: Vec<(Key, Load)>,
 }
@@ -107,9 +107,9 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     me: Node,
-    place: Place,
+    place: DataCentre,
     /// Other data centres of the region, which share its endpoints more than others do.
-    siblings: Vec<Place>,
+    siblings: Vec<DataCentre>,
     incarnation: u64,
     started: Time,
     sequence: u64,
@@ -132,8 +132,8 @@
     #[must_use]
     pub fn new(
         me: Node,
-        place: Place,
-        siblings: Vec<Place>,
+        place: DataCentre,
+        siblings: Vec<DataCentre>,
         incarnation: u64,
         seeds: &[Node],
         now: Time,
@@ -205,7 +205,7 @@
 
     /// Returns the live nodes of a data centre, this one included, in order.
     #[must_use]
-    pub fn live(&self, place: Place, now: Time) -> Vec<Node> {
+    pub fn live(&self, place: DataCentre, now: Time) -> Vec<Node> {
         let peers = self.peers.iter().filter(|peer| peer.place == Some(place));
         let mut nodes: Vec<Node> = peers
             .filter(|peer| self.is_live(peer, now))
@@ -257,7 +257,7 @@
 
     /// Returns the nodes that are alive now with their data centres, without this one.
     #[must_use]
-    pub fn members(&self, now: Time) -> Vec<(Node, Place)> {
+    pub fn members(&self, now: Time) -> Vec<(Node, DataCentre)> {
         let live = self.peers.iter().filter(|peer| self.is_live(peer, now));
         live.filter_map(|peer| Some((peer.node, peer.place?)))
             .collect()
@@ -293,7 +293,7 @@
         self.peers.binary_search_by_key(&node, |peer| peer.node)
     }
 
-    fn meet(&mut self, node: Node, place: Option<Place>, now: Time) -> Option<usize> {
+    fn meet(&mut self, node: Node, place: Option<DataCentre>, now: Time) -> Option<usize> {
         if node == self.me {
             return None;
         }
--- a/crates/peridotdeck-core/src/dispatch/fleet/hearing.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/hearing.rs
@@ -6,7 +6,7 @@
 
 use super::{Fleet, Heard, Remote};
 use crate::{
-    dispatch::{Key, Node, Place, endpoint::Load},
+    dispatch::{DataCentre, Key, Node, endpoint::Load},
     id::Time,
 };
 
@@ -61,7 +61,7 @@
     }
 
     /// Returns what another data centre has told, and notes that it tells something now.
-    fn remote(&mut self, place: Place, now: Time) -> &mut Remote {
+    fn remote(&mut self, place: DataCentre, now: Time) -> &mut Remote {
         let at = self.remotes.iter().position(|each| each.place == place);
         let at = at.unwrap_or_else(|| {
             self.remotes.push(Remote {
--- a/crates/peridotdeck-core/src/dispatch/fleet/telling.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/telling.rs
@@ -6,7 +6,7 @@
 
 use super::{Fleet, NEWS_NEAR, News, Status, YOUNG};
 use crate::{
-    dispatch::{Key, Node, Place},
+    dispatch::{DataCentre, Key, Node},
     id::Time,
 };
 
@@ -91,7 +91,7 @@
         self.round_due = now + round_time(here.len()) / self.rounds() as u32;
         self.round += 1;
         let mine = here.binary_search(&self.me).unwrap_or(0);
-        let mut places: Vec<Place> = self.remotes.iter().map(|each| each.place).collect();
+        let mut places: Vec<DataCentre> = self.remotes.iter().map(|each| each.place).collect();
         places.sort_unstable();
         let mut peers = Vec::new();
         for place in places {
@@ -122,7 +122,7 @@
     }
 
     /// Returns how often a data centre has had its turn, if this is one.
-    fn turn(&self, place: Place) -> Option<usize> {
+    fn turn(&self, place: DataCentre) -> Option<usize> {
         if self.siblings.contains(&place) {
             return Some(self.round);
         }
--- a/crates/peridotdeck-core/src/dispatch/flight.rs
+++ b/crates/peridotdeck-core/src/dispatch/flight.rs
@@ -30,7 +30,7 @@
 
 /// What a request asks for, as the ingress has read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct DecodedRequest {
     /// Id that the caller gave.
     pub id: String,
     /// Host that the caller names.
@@ -40,7 +40,7 @@
     /// Key of an organisation.
     pub key: Option<String>,
     /// Time that the caller will wait.
-    pub patience: Option<Duration>,
+    pub max_wait: Option<Duration>,
     /// Size and beginning of the prompt.
     pub prompt: Prompt,
 }
@@ -65,7 +65,7 @@
     /// When it came.
     pub arrived: Time,
     /// When caller or route give up.
-    pub until: Time,
+    pub deadline: Time,
     /// Service that it is for.
     pub service: String,
     /// Endpoints that have been tried.
@@ -75,7 +75,7 @@
     /// Attempts that endpoints took back.
     pub rejections: u32,
     /// When it began to wait for an endpoint, if it waits.
-    pub waiting: Option<Time>,
+    pub waiting_since: Option<Time>,
 }
 
 impl Flight {
@@ -90,19 +90,19 @@
             prompt: Prompt::default(),
             fingerprint: 0,
             arrived: now,
-            until: now + route.timeout,
+            deadline: now + route.timeout,
             service: String::new(),
             tried: Vec::new(),
             runs: 0,
             rejections: 0,
-            waiting: None,
+            waiting_since: None,
             route,
         }
     }
 
     /// Returns the name of the organisation, or an empty one.
     #[must_use]
-    pub fn customer(&self) -> &str {
+    pub fn organisation_name(&self) -> &str {
         self.organisation
             .as_ref()
             .map_or("", |organisation| &organisation.name)
@@ -125,7 +125,7 @@
 
     /// Returns the time that is left.
     #[must_use]
-    pub fn left(&self, now: Time) -> Duration {
-        self.until.saturating_sub(now)
+    pub fn time_left(&self, now: Time) -> Duration {
+        self.deadline.saturating_sub(now)
     }
 }
--- a/crates/peridotdeck-core/tests/testsuite/attempt_ends.rs
+++ b/crates/peridotdeck-core/tests/testsuite/attempt_ends.rs
@@ -16,7 +16,7 @@
     let mut flight = admit(&mut node, ask(route), ms(0));
     let order = sent(node.place(&mut flight, ms(0)));
     node.finish(&order.attempt, end, &flight, ms(10));
-    node.next(&mut flight, end, ms(10))
+    node.next_step(&mut flight, end, ms(10))
 }
 
 #[test]
@@ -32,7 +32,7 @@
 #[test]
 fn booking_that_provably_did_not_run_goes_elsewhere() {
     for end in [End::Unreachable, End::Rejected, End::Misdirected] {
-        assert_eq!(after("booking", end), Next::Again, "{end}");
+        assert_eq!(after("booking", end), Next::Retry, "{end}");
     }
 }
 
@@ -43,11 +43,11 @@
     let mut flight = admit(&mut node, ask("lookup"), ms(0));
     let first = sent(node.place(&mut flight, ms(0)));
     node.finish(&first.attempt, End::Broken, &flight, ms(5));
-    assert_eq!(node.next(&mut flight, End::Broken, ms(5)), Next::Again);
+    assert_eq!(node.next_step(&mut flight, End::Broken, ms(5)), Next::Retry);
     let second = sent(node.place(&mut flight, ms(5)));
     assert_ne!(first.instance, second.instance);
     node.finish(&second.attempt, End::Failed, &flight, ms(9));
-    let next = node.next(&mut flight, End::Failed, ms(9));
+    let next = node.next_step(&mut flight, End::Failed, ms(9));
     assert!(matches!(next, Next::GiveUp(refusal) if refusal.verdict == Verdict::MayHaveRun));
 }
 
@@ -91,7 +91,7 @@
         let mut flight = admit(&mut node, ask("booking"), now);
         let order = sent(node.place(&mut flight, now));
         node.finish(&order.attempt, End::Broken, &flight, now);
-        node.probed(order.attempt.key(), false, now + ms(5));
+        node.record_probe(order.attempt.key(), false, now + ms(5));
     }
     let refusal = node.admit(ask("booking"), 7, ms(400)).expect_err("refused");
     assert_eq!(refusal.cause, Cause::Quarantined);
@@ -110,7 +110,7 @@
         let mut flight = admit(&mut node, ask("booking"), now);
         let order = sent(node.place(&mut flight, now));
         node.finish(&order.attempt, End::Broken, &flight, now);
-        node.probed(order.attempt.key(), true, now + ms(5));
+        node.record_probe(order.attempt.key(), true, now + ms(5));
     }
     assert!(node.admit(ask("booking"), 7, ms(500)).is_ok());
 }
--- a/crates/peridotdeck-core/tests/testsuite/dispatch.rs
+++ b/crates/peridotdeck-core/tests/testsuite/dispatch.rs
@@ -8,11 +8,11 @@
 
 use peridotdeck_core::dispatch::{
     Dispatcher, Node, Prefix,
-    attempt::{Order, Placement},
+    attempt::{Assignment, Placement},
     budget::Bound,
     config::{Config, Kind, Model, Organisation, Route, Service, Share},
     dispatcher::Options,
-    flight::{Ask, Flight, Part, Prompt},
+    flight::{DecodedRequest, Flight, Part, Prompt},
     registry::{Area, Change, Endpoint, Fact, Report},
 };
 
@@ -33,20 +33,20 @@
 pub fn options(number: u8, place: &str) -> Options {
     Options {
         node: node(number),
-        place: place.to_owned(),
+        data_centre: place.to_owned(),
         regions: REGIONS
             .iter()
             .map(|(place, region)| ((*place).to_owned(), (*region).to_owned()))
             .collect(),
         seeds: vec![node(1), node(2)],
-        repeats: Bound {
+        retry_bound: Bound {
             ratio: 0.2,
             fixed: 50.0,
             window: Duration::from_secs(10),
         },
         incarnation: u64::from(number),
-        reuse: Duration::from_secs(10),
-        inherits: false,
+        reuse_window: Duration::from_secs(10),
+        is_restart: false,
     }
 }
 
@@ -151,24 +151,24 @@
 /// Tells a node the configuration and some endpoints.
 pub fn know(mut dispatcher: Dispatcher, endpoints: &[Endpoint]) -> Dispatcher {
     let facts = vec![Fact::Config(config(1))];
-    dispatcher.publish(report(Area::Policy, 1, true, facts), Duration::ZERO);
+    dispatcher.apply_report(report(Area::Policy, 1, true, facts), Duration::ZERO);
     let facts = endpoints.iter().cloned().map(Fact::Endpoint).collect();
-    dispatcher.publish(report(Area::Roster, 1, true, facts), Duration::ZERO);
+    dispatcher.apply_report(report(Area::Roster, 1, true, facts), Duration::ZERO);
     dispatcher
 }
 
 /// A second report of the endpoint list.
 pub fn publish(dispatcher: &mut Dispatcher, revision: u64, fact: Fact, now: Duration) -> Change {
-    dispatcher.publish(report(Area::Roster, revision, false, vec![fact]), now)
+    dispatcher.apply_report(report(Area::Roster, revision, false, vec![fact]), now)
 }
 
-pub fn ask(route: &str) -> Ask {
-    Ask {
+pub fn ask(route: &str) -> DecodedRequest {
+    DecodedRequest {
         id: "id".to_owned(),
         host: "host".to_owned(),
         path: format!("/{route}/x"),
         key: Some("key".to_owned()),
-        patience: Some(Duration::from_secs(10)),
+        max_wait: Some(Duration::from_secs(10)),
         prompt: Prompt::default(),
     }
 }
@@ -193,11 +193,11 @@
     }
 }
 
-pub fn admit(dispatcher: &mut Dispatcher, ask: Ask, now: Duration) -> Flight {
+pub fn admit(dispatcher: &mut Dispatcher, ask: DecodedRequest, now: Duration) -> Flight {
     dispatcher.admit(ask, 7, now).expect("admitted")
 }
 
-pub fn sent(placement: Placement) -> Order {
+pub fn sent(placement: Placement) -> Assignment {
     match placement {
         Placement::Send(order) => order,
         other => panic!("not sent: {other:?}"),
--- a/crates/peridotdeck-core/tests/testsuite/fleet_beats.rs
+++ b/crates/peridotdeck-core/tests/testsuite/fleet_beats.rs
@@ -5,8 +5,8 @@
 use peridotdeck_core::dispatch::{
     Dispatcher, Node,
     attempt::Placement,
+    data_centre,
     dispatcher::Options,
-    place,
     registry::{Area, Endpoint, Fact},
 };
 use peridotdeck_wire::{beat::Beat, pack, unpack};
@@ -37,7 +37,7 @@
     fn run(&mut self, from: u64, to: u64) {
         for at in (from..to).step_by(25) {
             for sender in 0..self.nodes.len() {
-                let beats = self.nodes[sender].1.tick(ms(at)).beats;
+                let beats = self.nodes[sender].1.tick(ms(at)).heartbeats;
                 for (to, beat) in beats {
                     self.deliver(sender, to, &beat, ms(at));
                 }
@@ -55,8 +55,8 @@
         let Some(at) = self.nodes.iter().position(|(each, _)| *each == to) else {
             return;
         };
-        if let Some(answer) = self.nodes[at].1.hear(&beat, now).0 {
-            self.nodes[sender].1.hear(&answer, now);
+        if let Some(answer) = self.nodes[at].1.receive(&beat, now).0 {
+            self.nodes[sender].1.receive(&answer, now);
         }
     }
 }
@@ -94,7 +94,7 @@
     fleet.run(0, 1_000);
     fleet.cut = vec![node(4)];
     fleet.run(1_000, 5_000);
-    let here = place(REGIONS[0].0);
+    let here = data_centre(REGIONS[0].0);
     assert_eq!(fleet.nodes[0].1.fleet().live(here, ms(5_000)), [node(1)]);
     fleet.cut.clear();
     fleet.run(5_000, 9_000);
@@ -108,7 +108,7 @@
     fleet.run(0, 1_000);
     fleet.nodes[3].1.leave();
     fleet.run(1_000, 1_050);
-    let here = place(REGIONS[0].0);
+    let here = data_centre(REGIONS[0].0);
     assert_eq!(fleet.nodes[0].1.fleet().live(here, ms(1_050)), [node(1)]);
 }
 
@@ -232,18 +232,18 @@
     let facts = vec![Fact::Config(config(2))];
     fleet.nodes[0]
         .1
-        .publish(report(Area::Policy, 9, false, facts), ms(1_000));
-    let mut errands = Vec::new();
+        .apply_report(report(Area::Policy, 9, false, facts), ms(1_000));
+    let mut snapshot_requests = Vec::new();
     for at in (1_000..1_500).step_by(25) {
-        for (to, beat) in fleet.nodes[0].1.tick(ms(at)).beats {
+        for (to, beat) in fleet.nodes[0].1.tick(ms(at)).heartbeats {
             fleet.deliver(0, to, &beat, ms(at));
         }
-        errands.extend(fleet.nodes[3].1.tick(ms(at)).errands);
+        snapshot_requests.extend(fleet.nodes[3].1.tick(ms(at)).snapshot_requests);
     }
     assert!(
-        errands
+        snapshot_requests
             .iter()
-            .any(|errand| errand.node == node(1) && errand.area == Area::Policy)
+            .any(|request| request.node == node(1) && request.area == Area::Policy)
     );
     let snapshot = fleet.nodes[0]
         .1
--- a/crates/peridotdeck-core/tests/testsuite/overload_waits.rs
+++ b/crates/peridotdeck-core/tests/testsuite/overload_waits.rs
@@ -2,7 +2,7 @@
 
 use peridotdeck_core::dispatch::{
     Dispatcher,
-    attempt::{Delay, End, Obstacle, Order, Placement},
+    attempt::{Assignment, Delay, End, Placement, WaitCause},
     config::{Config, Kind, Route},
     flight::Flight,
     registry::{Area, Fact},
@@ -28,7 +28,7 @@
         ..config(2)
     };
     let facts = vec![Fact::Config(config.indexed())];
-    node.publish(report(Area::Policy, 2, false, facts), ms(0));
+    node.apply_report(report(Area::Policy, 2, false, facts), ms(0));
     node
 }
 
@@ -39,7 +39,7 @@
 }
 
 /// Sends what the node lets go at once, up to twice a batch, and returns it.
-fn fill(node: &mut Dispatcher, route: &str, tokens: u32) -> Vec<(Flight, Order)> {
+fn fill(node: &mut Dispatcher, route: &str, tokens: u32) -> Vec<(Flight, Assignment)> {
     let mut sent = Vec::new();
     for _ in 0..2 * SLOTS {
         let mut flight = request(node, route, tokens, 0);
@@ -69,7 +69,7 @@
     let mut bulk = request(&mut node, "bulk", 10, 1);
     assert_eq!(
         delay(node.place(&mut bulk, ms(1))).cause,
-        Obstacle::Full,
+        WaitCause::Full,
         "others would displace it"
     );
     let mut chat = request(&mut node, "chat", 10, 1);
@@ -84,7 +84,7 @@
     delay(node.place(&mut bulk, ms(1)));
     for (flight, order) in &sent[..SLOTS / 4] {
         let mut attempt = order.attempt.clone();
-        node.note_read(&mut attempt, false, flight, ms(50));
+        node.record_answer_start(&mut attempt, false, flight, ms(50));
         node.finish(&attempt, End::Finished, flight, ms(90));
     }
     assert!(is_sent(&node.place(&mut bulk, ms(100))));
@@ -96,7 +96,7 @@
     fill(&mut node, "bulk", 20_000);
     let mut bulk = request(&mut node, "bulk", 20_000, 1);
     let delay = delay(node.place(&mut bulk, ms(1)));
-    assert_eq!(delay.cause, Obstacle::Late);
+    assert_eq!(delay.cause, WaitCause::Late);
     assert!(delay.expected > bulk.route.target);
 }
 
--- a/crates/peridotdeck-core/tests/testsuite/prompt_placement.rs
+++ b/crates/peridotdeck-core/tests/testsuite/prompt_placement.rs
@@ -4,7 +4,7 @@
 
 use peridotdeck_core::dispatch::{
     Dispatcher,
-    attempt::{End, Order, Placement},
+    attempt::{Assignment, End, Placement},
     config::Kind,
     flight::Flight,
     registry::{Area, Fact},
@@ -20,7 +20,7 @@
     subject: u64,
     own: u32,
     now: Duration,
-) -> (Flight, Order) {
+) -> (Flight, Assignment) {
     let mut ask = ask(route);
     ask.prompt = prompt(subject, 4_500, own);
     let mut flight = admit(dispatcher, ask, now);
@@ -28,8 +28,8 @@
     (flight, order)
 }
 
-fn read(dispatcher: &mut Dispatcher, flight: &Flight, order: &mut Order, now: Duration) {
-    dispatcher.note_read(&mut order.attempt, false, flight, now);
+fn read(dispatcher: &mut Dispatcher, flight: &Flight, order: &mut Assignment, now: Duration) {
+    dispatcher.record_answer_start(&mut order.attempt, false, flight, now);
     dispatcher.finish(&order.attempt, End::Finished, flight, now);
 }
 
@@ -175,7 +175,7 @@
     ];
     let mut node = dispatcher(1, "muenchen", &endpoints);
     let close = vec![Fact::Closed("muenchen".into())];
-    node.publish(report(Area::Policy, 2, false, close), ms(1));
+    node.apply_report(report(Area::Policy, 2, false, close), ms(1));
     assert_eq!(place(&mut node, "bulk", 9, 10, ms(2)).1.instance, "far");
     let mut leaving = endpoint("far", "text", "nuernberg");
     leaving.draining = true;
@@ -201,7 +201,7 @@
     bulk.regions = vec!["franken".into()];
     restricted.routes.push(bulk.into());
     let facts = vec![Fact::Config(restricted.indexed())];
-    node.publish(report(Area::Policy, 2, false, facts), ms(1));
+    node.apply_report(report(Area::Policy, 2, false, facts), ms(1));
     for at in 2..12 {
         let (_, order) = place(&mut node, "home", 9, 1_000, ms(at));
         assert_eq!(order.instance, "far");
--- a/crates/peridotdeck-core/tests/testsuite/random_dispatch.rs
+++ b/crates/peridotdeck-core/tests/testsuite/random_dispatch.rs
@@ -96,7 +96,7 @@
         let endpoints: Vec<_> = (0..4).map(|number| self.endpoint(number, 1)).collect();
         let mut fresh = dispatcher(at as u8 + 1, place_of(at), &endpoints);
         let facts = vec![Fact::Config(ranked(self.version))];
-        fresh.publish(report(Area::Policy, self.revision, true, facts), self.now);
+        fresh.apply_report(report(Area::Policy, self.revision, true, facts), self.now);
         fresh
     }
 
@@ -133,15 +133,15 @@
     fn tick(&mut self, at: usize) {
         let before = self.nodes[at].registry().config().map(|each| each.version);
         let due = self.nodes[at].tick(self.now);
-        self.beats.extend(due.beats);
+        self.beats.extend(due.heartbeats);
         for probe in due.probes {
-            self.nodes[at].probed(probe.key, probe.key.is_multiple_of(2), self.now);
+            self.nodes[at].record_probe(probe.key, probe.key.is_multiple_of(2), self.now);
         }
-        for errand in due.errands {
-            let peer = (0..NODES).find(|&peer| node(peer as u8 + 1) == errand.node);
+        for request in due.snapshot_requests {
+            let peer = (0..NODES).find(|&peer| node(peer as u8 + 1) == request.node);
             let Some(peer) = peer else { continue };
             let registry = self.nodes[peer].registry();
-            let snapshot = registry.snapshot(errand.area, errand.known, self.now);
+            let snapshot = registry.snapshot(request.area, request.known, self.now);
             self.nodes[at].adopt(snapshot, self.now);
         }
         let after = self.nodes[at].registry().config().map(|each| each.version);
@@ -214,8 +214,8 @@
             return;
         }
         let runs = runs + u32::from(end.verdict() != Verdict::NotRun);
-        match dispatcher.next(&mut flight, end, self.now) {
-            Next::Again => {
+        match dispatcher.next_step(&mut flight, end, self.now) {
+            Next::Retry => {
                 assert!(runs == 0 || flight.route.is_repeatable(), "one run at most");
                 assert!(runs < flight.route.attempts);
                 self.place(node, flight, runs);
@@ -243,7 +243,7 @@
         let receiver = (0..NODES).find(|&each| node(each as u8 + 1) == to);
         if let Some(receiver) = receiver
             && !value.is_multiple_of(5)
-            && let Some(answer) = self.nodes[receiver].hear(&beat, self.now).0
+            && let Some(answer) = self.nodes[receiver].receive(&beat, self.now).0
         {
             self.beats.push((Node::from(beat.node), answer));
         }
@@ -283,9 +283,9 @@
             if (value >> at) & 1 == 1 || at == usize::from(value) % NODES {
                 let facts = vec![fact.clone()];
                 let report = report(area, self.revision, false, facts);
-                self.nodes[at].publish(report, self.now);
+                self.nodes[at].apply_report(report, self.now);
             } else if value.is_multiple_of(7) {
-                self.nodes[at].note_trouble(self.now);
+                self.nodes[at].note_publisher_failure(self.now);
             }
         }
     }
--- a/crates/peridotdeck-core/tests/testsuite/shared_bounds.rs
+++ b/crates/peridotdeck-core/tests/testsuite/shared_bounds.rs
@@ -24,9 +24,9 @@
         let (mut requests, mut repeats) = (0_u32, 0_u32);
         for at in 0..1_000_u64 {
             for budget in &mut budgets {
-                budget.note("desk", ms(at * 10));
+                budget.count_request("desk", ms(at * 10));
                 requests += 1;
-                while budget.take("desk", nodes, ms(at * 10)) {
+                while budget.take_retry("desk", nodes, ms(at * 10)) {
                     repeats += 1;
                 }
             }
@@ -43,9 +43,9 @@
 #[test]
 fn budget_returns_with_time() {
     let mut budget = Budget::new(BOUND);
-    while budget.take("desk", 1, ms(0)) {}
-    assert!(!budget.take("desk", 1, ms(9_000)));
-    assert!(budget.take("desk", 1, ms(11_500)));
+    while budget.take_retry("desk", 1, ms(0)) {}
+    assert!(!budget.take_retry("desk", 1, ms(9_000)));
+    assert!(budget.take_retry("desk", 1, ms(11_500)));
 }
 
 /// Sends as much as the nodes of one data centre place on a cold endpoint within a second.
@@ -75,12 +75,12 @@
 
 fn exchange(nodes: &mut [Dispatcher], now: Duration) {
     for from in 0..nodes.len() {
-        for (to, beat) in nodes[from].tick(now).beats {
+        for (to, beat) in nodes[from].tick(now).heartbeats {
             let at = (0..nodes.len()).find(|at| node(*at as u8 + 1) == to);
             let Some(at) = at else { continue };
-            let answer = nodes[at].hear(&beat, now).0;
+            let answer = nodes[at].receive(&beat, now).0;
             if let Some(answer) = answer {
-                nodes[from].hear(&answer, now);
+                nodes[from].receive(&answer, now);
             }
         }
     }
@@ -135,7 +135,7 @@
         panic!("warm and free");
     };
     node.finish(&order.attempt, End::Unreachable, &flight, ms(1));
-    node.probed(order.attempt.key(), true, ms(300));
+    node.record_probe(order.attempt.key(), true, ms(300));
     let sends = cold_sends(std::slice::from_mut(&mut node), 700);
     assert!((5..=10).contains(&sends), "{sends}");
     // Its new entry says how long it is cold.
--- a/crates/peridotdeck-core/tests/testsuite/stream_pauses.rs
+++ b/crates/peridotdeck-core/tests/testsuite/stream_pauses.rs
@@ -31,7 +31,7 @@
         ..config(2)
     };
     let facts = vec![Fact::Config(config.indexed())];
-    node.publish(report(Area::Policy, 2, false, facts), ms(0));
+    node.apply_report(report(Area::Policy, 2, false, facts), ms(0));
     node
 }
 
@@ -63,7 +63,7 @@
     for ids in [&["a", "b"][..], &["a", "b", "c", "d", "e", "f"]] {
         let mut node = site(ids);
         for _ in 0..30 {
-            node.note_pause("text", ms(300));
+            node.record_pause("text", ms(300));
         }
         assert_eq!(mixed(&mut node, ids), 0, "{ids:?}");
     }
@@ -74,7 +74,7 @@
     let ids = ["a", "b"];
     let mut node = site(&ids);
     for _ in 0..100 {
-        node.note_pause("text", ms(100));
+        node.record_pause("text", ms(100));
     }
     let busy: Vec<String> = (0..6)
         .map(|subject| place(&mut node, "bulk", subject, 12_000))
@@ -89,13 +89,13 @@
 fn usual_pause_is_what_nine_of_ten_streams_stay_within() {
     let mut node = site(&["a"]);
     let stream = |node: &mut Dispatcher, pause: u64| {
-        if !node.note_pause("text", ms(pause)) {
-            node.note_steady("text");
+        if !node.record_pause("text", ms(pause)) {
+            node.record_steady_stream("text");
         }
     };
     for at in 0..2_000 {
         stream(&mut node, at * 37 % 100);
     }
-    assert!(node.note_pause("text", ms(105)));
-    assert!(!node.note_pause("text", ms(75)));
+    assert!(node.record_pause("text", ms(105)));
+    assert!(!node.record_pause("text", ms(75)));
 }
--- a/crates/peridotdeck-relay/src/control.rs
+++ b/crates/peridotdeck-relay/src/control.rs
@@ -72,7 +72,7 @@
     let metrics = &shared.metrics;
     metrics.show("endpoints", dispatcher.states().len() as u64);
     metrics.show("peers", dispatcher.fleet().members(now).len() as u64);
-    metrics.show("prefixes", dispatcher.prefixes() as u64);
+    metrics.show("prefixes", dispatcher.prefix_count() as u64);
     metrics.show("kept_connections", shared.pool.len() as u64);
 }
 
--- a/crates/peridotdeck-relay/src/exchange.rs
+++ b/crates/peridotdeck-relay/src/exchange.rs
@@ -11,9 +11,9 @@
 };
 use peridotdeck_core::dispatch::{
     Key,
-    attempt::{End, Order},
+    attempt::{Assignment, End},
     config::Kind,
-    due::Inquiry,
+    due::CacheQuery,
     flight::Flight,
 };
 
@@ -96,19 +96,19 @@
     shared: &Arc<Shared<I>>,
     message: &Message,
     flight: &Flight,
-    order: &Order,
+    assignment: &Assignment,
     resume: Option<&str>,
 ) -> Result<Answer, Failure> {
-    let mut link = open(shared, flight, order).await?;
-    let left = flight.left(clock::now());
+    let mut link = open(shared, flight, assignment).await?;
+    let left = flight.time_left(clock::now());
     if left.is_zero() {
         return Err(Failure::new(End::Unreachable, "no time left"));
     }
     let headers = shared
         .ingress
-        .forward(&message.head, flight, order, left, resume);
+        .forward(&message.head, flight, assignment, left, resume);
     let answer = link.sender.send_request(message.copy(headers));
-    let answer = timeout(flight.left(clock::now()), answer).await;
+    let answer = timeout(flight.time_left(clock::now()), answer).await;
     let late = |_| Failure::new(End::TimedOut, "no answer in time");
     let response = answer.map_err(late)?.map_err(|cause| failure(&cause))?;
     let (head, body) = response.into_parts();
@@ -140,9 +140,9 @@
 async fn open<I: Ingress>(
     shared: &Arc<Shared<I>>,
     flight: &Flight,
-    order: &Order,
+    assignment: &Assignment,
 ) -> Result<Link, Failure> {
-    let key = order.attempt.key();
+    let key = assignment.attempt.key();
     let fresh = match flight.route.kind {
         Kind::NonIdempotent => FRESH,
         Kind::Idempotent | Kind::Stream => KEPT,
@@ -150,7 +150,7 @@
     if let Some(link) = shared.pool.reuse(key, fresh) {
         return Ok(link);
     }
-    let dialed = dial(shared, key, order.address).await;
+    let dialed = dial(shared, key, assignment.address).await;
     dialed.map_err(|cause| Failure::new(End::Unreachable, &cause))
 }
 
@@ -181,11 +181,11 @@
 }
 
 /// Asks an endpoint which prompt parts its memory holds.
-pub async fn inquire<I: Ingress>(shared: &Arc<Shared<I>>, inquiry: Inquiry) {
+pub async fn inquire<I: Ingress>(shared: &Arc<Shared<I>>, query: CacheQuery) {
     let Some(path) = shared.ingress.inventory_path() else {
         return;
     };
-    let read = Source::new(inquiry.address).get(path, INQUIRY).await;
+    let read = Source::new(query.address).get(path, INQUIRY).await;
     let listed = match read {
         Ok(body) => shared
             .ingress
@@ -193,7 +193,7 @@
             .map_err(|cause| cause.to_string()),
         Err(cause) => Err(cause.to_string()),
     };
-    let key = inquiry.key;
+    let key = query.key;
     match listed {
         Ok(parts) => {
             log::info!(
@@ -201,7 +201,7 @@
                 parts.len()
             );
             let mut dispatcher = shared.dispatcher();
-            dispatcher.inventory(key, &parts, clock::now());
+            dispatcher.record_cached(key, &parts, clock::now());
         }
         Err(cause) => {
             log::info!("event=memory_unlisted endpoint_key={key:08x} cause=\"{cause}\"");
--- a/crates/peridotdeck-relay/src/front.rs
+++ b/crates/peridotdeck-relay/src/front.rs
@@ -13,7 +13,7 @@
 use peridotdeck_core::{
     dispatch::{
         config::Limits,
-        flight::{Ask, Flight},
+        flight::{DecodedRequest, Flight},
         refusal::{Cause, Refusal},
         registry::Area,
     },
@@ -102,7 +102,7 @@
     shared: &Shared<I>,
     head: &request::Parts,
     body: &Bytes,
-    decoded: Result<Ask, Cause>,
+    decoded: Result<DecodedRequest, Cause>,
     arrived: Time,
 ) -> Result<Flight, Refusal> {
     let ask = decoded.map_err(|cause| Refusal::not_run(cause, None))?;
--- a/crates/peridotdeck-relay/src/ingress.rs
+++ b/crates/peridotdeck-relay/src/ingress.rs
@@ -5,8 +5,8 @@
 use hyper::{HeaderMap, http::request, http::response};
 use peridotdeck_core::dispatch::{
     Prefix,
-    attempt::Order,
-    flight::{Ask, Flight},
+    attempt::Assignment,
+    flight::{DecodedRequest, Flight},
     refusal::{Cause, Refusal},
 };
 use strum::{Display, IntoStaticStr};
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     /// Why the head cannot be served.
-    fn decode(&self, head: &request::Parts) -> Result<Ask, Cause>;
+    fn decode(&self, head: &request::Parts) -> Result<DecodedRequest, Cause>;
 
     /// Returns the headers under which a request goes to an endpoint.
     ///
@@ -45,7 +45,7 @@
         &self,
         head: &request::Parts,
         flight: &Flight,
-        order: &Order,
+        assignment: &Assignment,
         left: Duration,
         resume: Option<&str>,
     ) -> HeaderMap;
--- a/crates/peridotdeck-relay/src/journey.rs
+++ b/crates/peridotdeck-relay/src/journey.rs
@@ -20,7 +20,7 @@
     Verdict,
     dispatch::{
         Key,
-        attempt::{Attempt, End, Next, Obstacle, Order, Placement},
+        attempt::{Assignment, Attempt, End, Next, Placement, WaitCause},
         config::Kind,
         flight::Flight,
         refusal::Refusal,
@@ -83,7 +83,7 @@
     paused: bool,
     attempts: u32,
     /// Why it waits for an endpoint, as logged.
-    obstacle: Option<Obstacle>,
+    obstacle: Option<WaitCause>,
     ended: bool,
 }
 
@@ -111,12 +111,12 @@
     pub async fn run(mut self) -> Outcome<I> {
         let mut placed = self.place().await;
         loop {
-            let order = match placed {
-                Ok(order) => order,
+            let assignment = match placed {
+                Ok(assignment) => assignment,
                 Err(refusal) => return self.refuse(refusal),
             };
-            match self.attempt(&order).await {
-                Some(Ok(arrival)) => match self.arrive(&order, arrival) {
+            match self.attempt(&assignment).await {
+                Some(Ok(arrival)) => match self.arrive(&assignment, arrival) {
                     Ok(outcome) => return *outcome,
                     Err(journey) => self = *journey,
                 },
@@ -136,8 +136,12 @@
     }
 
     /// Decides on an answer: passes it on, or tries again if that may help.
-    fn arrive(mut self, order: &Order, arrival: Arrival) -> Result<Box<Outcome<I>>, Box<Self>> {
-        let key = order.attempt.key();
+    fn arrive(
+        mut self,
+        assignment: &Assignment,
+        arrival: Arrival,
+    ) -> Result<Box<Outcome<I>>, Box<Self>> {
+        let key = assignment.attempt.key();
         match arrival {
             Arrival::Whole(response, link, keep_alive) => {
                 self.shared.pool.keep(key, link, keep_alive);
@@ -148,7 +152,7 @@
             Arrival::Failed(response, link, keep_alive) => {
                 self.shared.pool.keep(key, link, keep_alive);
                 self.finish(End::Failed, "");
-                if self.next(End::Failed) == Next::Again {
+                if self.next(End::Failed) == Next::Retry {
                     return Err(Box::new(self));
                 }
                 self.end("failed", response.status().as_u16(), "endpoint answered so");
@@ -163,15 +167,15 @@
     }
 
     /// Makes one attempt; nothing comes of it if it is slow and another endpoint should be asked.
-    async fn attempt(&self, order: &Order) -> Option<Result<Arrival, Failure>> {
-        let work = Self::answer(&self.shared, &self.message, &self.flight, order, None);
+    async fn attempt(&self, assignment: &Assignment) -> Option<Result<Arrival, Failure>> {
+        let work = Self::answer(&self.shared, &self.message, &self.flight, assignment, None);
         let mut work = pin!(work);
-        if let Some(patience) = order.hedge {
+        if let Some(patience) = assignment.hedge_after {
             if let Ok(result) = timeout(patience, work.as_mut()).await {
                 return Some(result);
             }
             let now = clock::now();
-            if self.shared.dispatcher().may_hedge(&self.flight, now) {
+            if self.shared.dispatcher().try_hedge(&self.flight, now) {
                 return None;
             }
         }
@@ -182,10 +186,10 @@
         shared: &Arc<Shared<I>>,
         message: &Message,
         flight: &Flight,
-        order: &Order,
+        assignment: &Assignment,
         resume: Option<&str>,
     ) -> Result<Arrival, Failure> {
-        let answer = exchange::send(shared, message, flight, order, resume).await?;
+        let answer = exchange::send(shared, message, flight, assignment, resume).await?;
         let (head, mut body) = answer.response.into_parts();
         let (link, keep_alive) = (answer.link, answer.keep_alive);
         let end = match answer.reply {
@@ -218,24 +222,24 @@
         if end == End::Rejected {
             let rest = timeout(DRAIN, body.collect()).await;
             if matches!(rest, Ok(Ok(_))) {
-                shared.pool.keep(order.attempt.key(), link, keep_alive);
+                shared.pool.keep(assignment.attempt.key(), link, keep_alive);
             }
         }
         Err(Failure { end, cause })
     }
 
     /// Waits until there is an endpoint, or until it is clear that there is none.
-    pub(crate) async fn place(&mut self) -> Result<Order, Refusal> {
+    pub(crate) async fn place(&mut self) -> Result<Assignment, Refusal> {
         loop {
             let now = clock::now();
             let placement = self.shared.dispatcher().place(&mut self.flight, now);
             match placement {
-                Placement::Send(order) => {
-                    self.running = Some(order.attempt.clone());
+                Placement::Send(assignment) => {
+                    self.running = Some(assignment.attempt.clone());
                     self.attempts += 1;
-                    self.endpoint.clone_from(&order.instance);
-                    self.log_placed(&order);
-                    return Ok(order);
+                    self.endpoint.clone_from(&assignment.instance);
+                    self.log_placed(&assignment);
+                    return Ok(assignment);
                 }
                 Placement::Wait(delay) => {
                     self.log_waiting(&delay);
@@ -252,10 +256,11 @@
     /// Sends the rest of a broken stream to another endpoint.
     pub(crate) async fn resume(&mut self, last: Option<&str>) -> Result<(Key, Started), Refusal> {
         loop {
-            let order = self.place().await?;
-            let work = Self::answer(&self.shared, &self.message, &self.flight, &order, last).await;
+            let assignment = self.place().await?;
+            let work =
+                Self::answer(&self.shared, &self.message, &self.flight, &assignment, last).await;
             let failure = match work {
-                Ok(Arrival::Started(started)) => return Ok((order.attempt.key(), *started)),
+                Ok(Arrival::Started(started)) => return Ok((assignment.attempt.key(), *started)),
                 Ok(_) => Failure::new(End::Failed, "no stream"),
                 Err(failure) => failure,
             };
@@ -272,7 +277,7 @@
         let plain = self.flight.route.kind != Kind::Stream;
         if let Some(attempt) = &mut self.running {
             let mut dispatcher = self.shared.dispatcher();
-            dispatcher.note_read(attempt, plain, &self.flight, now);
+            dispatcher.record_answer_start(attempt, plain, &self.flight, now);
         }
     }
 
@@ -285,7 +290,7 @@
         self.pause = pause;
         if self.attempts == 1 && !self.paused {
             let mut dispatcher = self.shared.dispatcher();
-            self.paused = dispatcher.note_pause(&self.flight.service, pause);
+            self.paused = dispatcher.record_pause(&self.flight.service, pause);
         }
     }
 
@@ -293,7 +298,7 @@
     pub(crate) fn note_whole(&self) {
         if self.attempts == 1 && !self.paused {
             let mut dispatcher = self.shared.dispatcher();
-            dispatcher.note_steady(&self.flight.service);
+            dispatcher.record_steady_stream(&self.flight.service);
         }
     }
 
@@ -306,7 +311,7 @@
         let plain = self.flight.route.kind != Kind::Stream;
         let mut dispatcher = self.shared.dispatcher();
         if plain && end == End::Finished {
-            dispatcher.note_read(&mut attempt, plain, &self.flight, now);
+            dispatcher.record_answer_start(&mut attempt, plain, &self.flight, now);
         }
         dispatcher.finish(&attempt, end, &self.flight, now);
         drop(dispatcher);
@@ -327,7 +332,9 @@
     /// Returns what follows a failed attempt.
     pub(crate) fn next(&mut self, end: End) -> Next {
         let now = clock::now();
-        self.shared.dispatcher().next(&mut self.flight, end, now)
+        self.shared
+            .dispatcher()
+            .next_step(&mut self.flight, end, now)
     }
 
     fn refuse(mut self, refusal: Refusal) -> Outcome<I> {
@@ -354,7 +361,7 @@
     flight: &Flight,
     work: impl Future<Output = Result<T, Failure>>,
 ) -> Result<T, Failure> {
-    let done = timeout(flight.left(clock::now()), work).await;
+    let done = timeout(flight.time_left(clock::now()), work).await;
     done.unwrap_or_else(|_| Err(Failure::new(End::TimedOut, "answer not whole in time")))
 }
 
--- a/crates/peridotdeck-relay/src/journey/account.rs
+++ b/crates/peridotdeck-relay/src/journey/account.rs
@@ -1,7 +1,7 @@
 //! What the log and the metrics tell of a request: where it went, why it waits, how it ended.
 
 use peridotdeck_core::dispatch::{
-    attempt::{Delay, Order},
+    attempt::{Assignment, Delay},
     placement::Bar,
     refusal::Refusal,
     registry::Area,
@@ -30,7 +30,7 @@
         let time = clock::now().saturating_sub(flight.arrived);
         self.shared.metrics.ended(&flight.route.name, outcome);
         if outcome == "answered" {
-            let (class, organisation) = (&flight.route.name, flight.customer());
+            let (class, organisation) = (&flight.route.name, flight.organisation_name());
             self.shared.metrics.whole(class, organisation, time);
         }
         log::info!(
@@ -39,7 +39,7 @@
              cause={cause}",
             flight.id,
             flight.route.name,
-            flight.customer(),
+            flight.organisation_name(),
             flight.version,
             time.as_millis(),
             self.first.unwrap_or(time).as_millis(),
@@ -51,8 +51,8 @@
     }
 
     /// Logs where an attempt goes, and on what that was decided.
-    pub(super) fn log_placed(&self, order: &Order) {
-        let estimate = &order.estimate;
+    pub(super) fn log_placed(&self, assignment: &Assignment) {
+        let estimate = &assignment.estimate;
         let now = clock::now();
         log::info!(
             "event=request_placed id={} route={} endpoint={} attempt={} rank={} score={:.0} \
@@ -60,9 +60,9 @@
              backlog={} waited_ms={} left_ms={} roster={} roster_age_ms={}",
             self.flight.id,
             self.flight.route.name,
-            order.instance,
+            assignment.instance,
             self.attempts,
-            order.rank,
+            assignment.rank,
             estimate.score,
             estimate.first.as_millis(),
             self.flight.prompt.tokens,
@@ -74,13 +74,13 @@
             estimate.known,
             estimate.cached,
             estimate.unread,
-            order.source.is_some(),
-            order.load.running,
-            order.load.unread,
+            assignment.source.is_some(),
+            assignment.load.running,
+            assignment.load.unread,
             now.saturating_sub(self.flight.arrived).as_millis(),
-            self.flight.left(now).as_millis(),
-            order.roster,
-            order.roster_age.as_millis(),
+            self.flight.time_left(now).as_millis(),
+            assignment.roster,
+            assignment.roster_age.as_millis(),
         );
     }
 
@@ -98,7 +98,7 @@
             delay.running,
             delay.expected.as_millis(),
             self.flight.route.target.as_millis(),
-            self.flight.left(clock::now()).as_millis(),
+            self.flight.time_left(clock::now()).as_millis(),
         );
     }
 
--- a/crates/peridotdeck-relay/src/node.rs
+++ b/crates/peridotdeck-relay/src/node.rs
@@ -89,7 +89,7 @@
         options.control,
         options.peers,
         options.metrics,
-        options.dispatch.place,
+        options.dispatch.data_centre,
         options.dispatch.incarnation,
     );
     let left = task::spawn(leave(
@@ -149,23 +149,23 @@
         for node in &due.silent {
             log::info!("event=peer_silent node={node}");
         }
-        for (node, beat) in &due.beats {
+        for (node, beat) in &due.heartbeats {
             peers.tell(shared, *node, beat).await;
         }
-        for errand in due.errands {
+        for request in due.snapshot_requests {
             let (shared, peers) = (Arc::clone(shared), peers.clone());
-            task::spawn(async move { peers.fetch(&shared, errand).await });
+            task::spawn(async move { peers.fetch(&shared, request).await });
         }
-        for inquiry in due.inquiries {
+        for query in due.cache_queries {
             let shared = Arc::clone(shared);
-            task::spawn(async move { exchange::inquire(&shared, inquiry).await });
+            task::spawn(async move { exchange::inquire(&shared, query).await });
         }
         for probe in due.probes {
             let shared = Arc::clone(shared);
             task::spawn(async move {
                 let accepted = exchange::probe(&shared, probe.key, probe.address).await;
                 let mut dispatcher = shared.dispatcher();
-                dispatcher.probed(probe.key, accepted, clock::now());
+                dispatcher.record_probe(probe.key, accepted, clock::now());
             });
         }
     }
--- a/crates/peridotdeck-relay/src/peers.rs
+++ b/crates/peridotdeck-relay/src/peers.rs
@@ -11,7 +11,7 @@
 use async_std::net::UdpSocket;
 use peridotdeck_core::dispatch::{
     Node,
-    due::Errand,
+    due::SnapshotRequest,
     registry::{Area, Snapshot},
 };
 use peridotdeck_wire::{MAX_DATAGRAM, beat::Beat, pack, unpack};
@@ -96,7 +96,7 @@
     async fn take_in<I: Ingress>(&self, shared: &Shared<I>, beat: &Beat) {
         shared.metrics.messages("received", 1);
         let node = Node::from(beat.node);
-        let (answer, joined) = shared.dispatcher().hear(beat, clock::now());
+        let (answer, joined) = shared.dispatcher().receive(beat, clock::now());
         if joined {
             log::info!(
                 "event=peer_joined node={node} incarnation={:016x} policy={} roster={}",
@@ -127,9 +127,9 @@
     }
 
     /// Fetches what a peer knows better, and takes it in.
-    pub async fn fetch<I: Ingress>(&self, shared: &Shared<I>, errand: Errand) {
-        let Errand { node, area, known } = errand;
-        match self.ask(errand).await {
+    pub async fn fetch<I: Ingress>(&self, shared: &Shared<I>, request: SnapshotRequest) {
+        let SnapshotRequest { node, area, known } = request;
+        match self.ask(request).await {
             Ok(snapshot) => {
                 let change = shared.dispatcher().adopt(snapshot, clock::now());
                 log::info!("event=peer_asked node={node} area={area} known={known}");
@@ -141,11 +141,11 @@
         }
     }
 
-    async fn ask(&self, errand: Errand) -> Result<Snapshot, Error> {
-        let address = SocketAddrV4::new(errand.node, self.control);
-        let path = match errand.area {
+    async fn ask(&self, request: SnapshotRequest) -> Result<Snapshot, Error> {
+        let address = SocketAddrV4::new(request.node, self.control);
+        let path = match request.area {
             Area::Policy => "/fleet/policy".to_owned(),
-            Area::Roster => format!("/fleet/roster?known={}", errand.known),
+            Area::Roster => format!("/fleet/roster?known={}", request.known),
         };
         let body = Source::new(address).get(&path, PATIENCE).await?;
         Ok(postcard::from_bytes(&body)?)
--- a/crates/peridotdeck-relay/src/shared.rs
+++ b/crates/peridotdeck-relay/src/shared.rs
@@ -113,7 +113,7 @@
 
 impl<I: Ingress> Sink for Shared<I> {
     fn report(&self, report: Report) {
-        let change = self.dispatcher().publish(report, clock::now());
+        let change = self.dispatcher().apply_report(report, clock::now());
         self.note_change(&change, "publisher");
     }
 
@@ -123,7 +123,7 @@
             log::warn!("event=publisher_lost area={area} cause=\"{cause}\"");
         }
         self.metrics.publisher_failed(area.into());
-        self.dispatcher().note_trouble(clock::now());
+        self.dispatcher().note_publisher_failure(clock::now());
     }
 
     fn recovered(&self, area: Area) {
--- a/crates/peridotdeck-relay/src/stream.rs
+++ b/crates/peridotdeck-relay/src/stream.rs
@@ -58,7 +58,7 @@
 impl<I: Ingress> Relay<I> {
     pub(crate) fn new(mut journey: Journey<I>, key: Key, started: Started) -> Self {
         journey.note_read();
-        let left = journey.flight.left(clock::now());
+        let left = journey.flight.time_left(clock::now());
         Self {
             journey,
             key,
@@ -122,7 +122,7 @@
             let flight = &self.journey.flight;
             let time = now.saturating_sub(flight.arrived);
             let metrics = &self.journey.shared.metrics;
-            metrics.first(&flight.route.name, flight.customer(), time);
+            metrics.first(&flight.route.name, flight.organisation_name(), time);
             self.journey.first = Some(time);
         } else {
             let pause = now.saturating_sub(self.sent);
@@ -153,7 +153,7 @@
         let may_go_on = flight.route.resumable || !self.first_sent;
         if failure.end != End::TimedOut
             && may_go_on
-            && self.journey.next(failure.end) == Next::Again
+            && self.journey.next(failure.end) == Next::Retry
         {
             let last = self.events.last.clone();
             match self.journey.resume(last.as_deref()).await {
