--- a/crates/peridotdeck-core/src/dispatch/budget.rs
+++ b/crates/peridotdeck-core/src/dispatch/budget.rs
@@ -1,9 +1,10 @@
 //! Retry budget of each service, bounded over all nodes.
 //!
 //! The operators bound the retries in any time window by a ratio of the requests plus a fixed
-//! number; a hedged attempt counts as a retry. Nodes do not coordinate. Each applies the ratio to its own callers' requests and takes
-//! an equal share of the fixed number, divided by the largest number of nodes that were recently
-//! alive. The sum therefore stays within the bound even if some nodes cannot reach each other.
+//! number. A hedged attempt counts as a retry. Nodes do not coordinate: each applies the ratio to
+//! its own callers' requests and takes an equal share of the fixed number, divided by the largest
+//! number of nodes that were recently alive. The sum therefore stays within the bound even if some
+//! nodes cannot reach each other.
 
 use std::time::Duration;
 
--- a/crates/peridotdeck-core/src/dispatch/dispatcher.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher.rs
@@ -1,8 +1,14 @@
-//! All decisions of a node that places its own callers' requests.
+//! The dispatcher: state and decisions of a node that places its own callers' requests.
 //!
-//! The state is here, with what the publisher says; what is done with it stands in modules by its
-//! cause: a request (`placing`), the end of an attempt (`outcomes`), pauses of streams (`pauses`), a peer
-//! (`peers`) or time (`maintenance`); who waits is decided in `waiting`.
+//! This module holds the state and applies the publisher's reports. The submodules hold the
+//! decisions, grouped by their trigger:
+//!
+//! - `placing`: a request is admitted or placed;
+//! - `waiting`: a request waits or is refused, and its caller may return later;
+//! - `outcomes`: an attempt ends;
+//! - `pauses`: a stream pauses between events;
+//! - `peers`: a heartbeat from a peer arrives, or one to a peer is composed;
+//! - `maintenance`: time passes, or the result of a probe or of a cache query arrives.
 
 mod maintenance;
 mod outcomes;
@@ -29,56 +35,56 @@
 };
 use crate::id::{Fingerprint, Time};
 
-/// Expected time of a plain service's answer before any was seen, in milliseconds.
-const PLAIN_MS: f64 = 40.0;
+/// Expected time of a plain service's answer before the first sample, in milliseconds.
+const INITIAL_PLAIN_ANSWER_MS: f64 = 40.0;
 
-/// Expected time of a whole stream before any was seen, in milliseconds.
-const WHOLE_MS: f64 = 2_000.0;
+/// Expected time of a complete answer before the first sample, in milliseconds.
+const INITIAL_WHOLE_ANSWER_MS: f64 = 2_000.0;
 
-/// Nodes of a data centre that watch the publisher: one may fail, or be turned away.
-const WATCHERS: usize = 2;
+/// Nodes of a data centre that watch the publisher, so that one may fail or be refused.
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Key by which they are ranked.
-const WATCH_KEY: Key = 0x7761_7463;
+/// Key that ranks the nodes of a data centre, to choose those that watch the publisher.
+const WATCHER_RANKING_KEY: Key = 0x7761_7463;
 
-/// Fixed facts of a node.
+/// Fixed options of a node.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Address by which peers know this node.
+    /// Address that identifies this node to its peers.
     pub node: Node,
-    /// Its data centre.
+    /// Data centre of this node.
     pub data_centre: String,
-    /// All data centres with their regions, sorted.
+    /// All data centres with their regions, sorted by data centre.
     pub regions: Vec<(String, String)>,
-    /// Nodes to begin with.
+    /// Nodes through which this node finds its peers.
     pub seeds: Vec<Node>,
-    /// Bound on repeats.
+    /// Bound on the retries of each service over all nodes.
     pub retry_bound: Bound,
-    /// Random number of the process.
+    /// Random number that distinguishes this process from earlier ones at the same address.
     pub incarnation: u64,
-    /// Time after its last use in which reading a part of a prompt again is paid for.
+    /// Time after the last use of a prompt part in which a repeated prefill of it is charged.
     pub reuse_window: Duration,
-    /// Whether endpoints may hold prompts from before this process: it is no first start.
+    /// Whether the node has run before, so that endpoints may already hold cached prompts.
     pub is_restart: bool,
 }
 
-/// A peer that knows a newer revision.
+/// A peer's announcement of a newer revision.
 #[derive(Clone, Copy, Debug)]
-struct Ahead {
+struct NewerRevision {
     request: SnapshotRequest,
     revision: u64,
-    near: bool,
+    is_local: bool,
 }
 
-/// A suspicion that a request crashed an endpoint.
+/// A request that may have crashed an endpoint, because its attempt broke.
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     key: Key,
     fingerprint: Fingerprint,
-    at: Time,
+    broken_at: Time,
 }
 
-/// All state and all decisions of a node.
+/// State of a node that places its own callers' requests.
 #[derive(Debug)]
 pub struct Dispatcher {
     options: Options,
@@ -90,18 +96,18 @@
     budget: Budget,
     crashes: List,
     suspects: Vec<Suspect>,
-    plain: mean::Table,
-    whole: mean::Table,
-    failing: mean::Table,
-    pauses: mean::Table,
-    ahead: Vec<(Ahead, Time)>,
+    plain_answer_ms: mean::Table,
+    whole_answer_ms: mean::Table,
+    failure_rate: mean::Table,
+    pause_ms: mean::Table,
+    newer_revisions: Vec<(NewerRevision, Time)>,
     clean_up_due: Time,
     cache_queries: Vec<CacheQuery>,
     rng: SmallRng,
 }
 
 impl Dispatcher {
-    /// Starts a node that knows nothing but its options.
+    /// Creates the state of a node that has only its options.
     #[must_use]
     pub fn new(options: Options, now: Time) -> Self {
         let region = region(&options.regions, &options.data_centre);
@@ -123,11 +129,11 @@
             budget: Budget::new(options.retry_bound),
             crashes: List::default(),
             suspects: Vec::new(),
-            plain: mean::Table::new(PLAIN_MS),
-            whole: mean::Table::new(WHOLE_MS),
-            failing: mean::Table::new(0.0),
-            pauses: mean::Table::new(0.0),
-            ahead: Vec::new(),
+            plain_answer_ms: mean::Table::new(INITIAL_PLAIN_ANSWER_MS),
+            whole_answer_ms: mean::Table::new(INITIAL_WHOLE_ANSWER_MS),
+            failure_rate: mean::Table::new(0.0),
+            pause_ms: mean::Table::new(0.0),
+            newer_revisions: Vec::new(),
             clean_up_due: now,
             cache_queries: Vec::new(),
             rng: SmallRng::seed_from_u64(options.incarnation),
@@ -135,76 +141,80 @@
         }
     }
 
-    /// Returns what is in force.
+    /// Returns the registry with the current configuration and endpoints.
     #[must_use]
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Returns the node's view of its peers.
+    /// Returns this node's view of its peers.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Returns the endpoints, sorted by key.
+    /// Returns the states of all endpoints, sorted by key.
     #[must_use]
     pub fn states(&self) -> &[State] {
         &self.states
     }
 
-    /// Returns the number of prompt prefixes whose place is known.
+    /// Returns the number of entries in the index of cached prompt prefixes.
     #[must_use]
     pub fn prefix_count(&self) -> usize {
         self.prefixes.len()
     }
 
-    /// Returns whether requests can be served: the configuration is known and the node stays.
+    /// Returns whether the node has a configuration and is not leaving, so it can serve requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.registry.config().is_some() && !self.fleet.is_leaving()
     }
 
-    /// Returns whether this node should watch the publisher itself, or learns from peers that do.
+    /// Returns whether this node watches the publisher itself, instead of fetching from peers.
     #[must_use]
     pub fn is_watcher(&self, now: Time) -> bool {
-        self.registry.config().is_none() || self.fleet.is_among(WATCHERS, WATCH_KEY, now)
+        self.registry.config().is_none()
+            || self
+                .fleet
+                .is_among(WATCHERS_PER_DATA_CENTRE, WATCHER_RANKING_KEY, now)
     }
 
-    /// Starts to leave.
+    /// Starts to leave the fleet.
     pub fn leave(&mut self) {
         self.fleet.leave();
     }
 
-    /// Follows a change of the seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: &[Node], now: Time) {
         self.fleet.set_seeds(seeds, now);
     }
 
-    /// Notes that the publisher cannot be read.
+    /// Records that the publisher could not be read.
     pub fn note_publisher_failure(&mut self, now: Time) {
         self.registry.note_trouble(now);
     }
 
-    /// Takes in what the publisher reports.
+    /// Applies a report of the publisher and returns what it changed.
     pub fn apply_report(&mut self, report: Report, now: Time) -> Change {
         let change = self.registry.apply(report, now);
-        self.follow(&change, now);
+        self.apply_change(&change, now);
         change
     }
 
-    /// Takes in what a peer handed over.
+    /// Adopts a snapshot that a peer sent and returns what it changed.
     pub fn adopt(&mut self, snapshot: registry::Snapshot, now: Time) -> Change {
         let change = self.registry.adopt(snapshot, now);
-        self.follow(&change, now);
+        self.apply_change(&change, now);
         change
     }
 
-    fn follow(&mut self, change: &Change, now: Time) {
+    /// Updates the endpoint states after a change of the registry.
+    fn apply_change(&mut self, change: &Change, now: Time) {
         if *change != Change::default() {
             self.fleet.touch();
         }
-        let first = self.states.is_empty() && self.options.is_restart;
+        let query_caches = self.states.is_empty() && self.options.is_restart;
         for endpoint in &change.removed {
             self.remove(endpoint);
         }
@@ -216,7 +226,7 @@
                     let region = region(&self.options.regions, &endpoint.place);
                     let mut state = State::new(endpoint.clone(), region, now);
                     state.foreign = self.fleet.load(key);
-                    if first {
+                    if query_caches {
                         let address = endpoint.address;
                         self.cache_queries.push(CacheQuery { key, address });
                     }
@@ -235,7 +245,7 @@
     }
 
     fn find(&self, key: Key) -> Result<usize, usize> {
-        self.states.binary_search_by_key(&key, |each| each.key)
+        self.states.binary_search_by_key(&key, |state| state.key)
     }
 
     fn state(&self, key: Key) -> Option<&State> {
@@ -249,16 +259,17 @@
     }
 }
 
-fn region(regions: &[(String, String)], place: &str) -> String {
-    let found = regions.iter().find(|(each, _)| each == place);
-    found.map_or_else(|| place.to_owned(), |(_, region)| region.clone())
+/// Returns the region of a data centre, or the data centre's own name if it is not listed.
+fn region(regions: &[(String, String)], data_centre: &str) -> String {
+    let found = regions.iter().find(|(name, _)| name == data_centre);
+    found.map_or_else(|| data_centre.to_owned(), |(_, region)| region.clone())
 }
 
-/// Returns the other data centres of a data centre's region.
+/// Returns the other data centres in the region of a data centre.
 fn siblings(regions: &[(String, String)], here: &str) -> Vec<DataCentre> {
     let home = region(regions, here);
     let others = regions
         .iter()
-        .filter(|(each, region)| each != here && *region == home);
-    others.map(|(each, _)| data_centre(each)).collect()
+        .filter(|(name, region)| name != here && *region == home);
+    others.map(|(name, _)| data_centre(name)).collect()
 }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/maintenance.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/maintenance.rs
@@ -1,4 +1,4 @@
-//! What time brings, and what probes and lists find.
+//! Periodic work, and the results of probes and cache queries.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
     id::Time,
 };
 
-/// Time between two clean-ups of what expires slowly.
-const CLEAN_UP: Duration = Duration::from_secs(2);
+/// Time between two clean-ups of prefixes, crashes and suspicions, which expire slowly.
+const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Endpoints whose memory a node that has just started asks for.
-const MOST_INQUIRIES: usize = 16;
+/// Number of endpoints whose cached prefixes a node queries after its start.
+const MAX_CACHE_QUERIES: usize = 16;
 
-/// Time after a broken attempt in which a failed probe proves that the endpoint crashed.
-const CRASH: Duration = Duration::from_secs(2);
+/// Time after a broken attempt during which a failed probe counts as a crash of the endpoint.
+const CRASH_WINDOW: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
-    /// Does what time brings.
+    /// Performs the periodic work and returns the actions that are due.
     pub fn tick(&mut self, now: Time) -> Due {
         let mut due = Due {
             removed: self.registry.tick(now),
@@ -37,7 +37,7 @@
             removed,
             ..Heard::default()
         };
-        self.follow_loads(&heard);
+        self.apply_peer_loads(&heard);
         if self.fleet.is_due(now) {
             let status = self.status(now);
             due.heartbeats = self.fleet.beats(&status, now);
@@ -46,23 +46,26 @@
         due.cache_queries = self.cache_queries();
         due.snapshot_requests = self.snapshot_requests(now);
         if now >= self.clean_up_due {
-            self.clean_up_due = now + CLEAN_UP;
+            self.clean_up_due = now + CLEAN_UP_INTERVAL;
             self.prefixes.expire(now);
             self.crashes.expire(now);
             self.suspects
-                .retain(|suspect| now.saturating_sub(suspect.at) < CRASH);
+                .retain(|suspect| now.saturating_sub(suspect.broken_at) < CRASH_WINDOW);
         }
         due
     }
 
-    /// Memory is listed by endpoints with a model only, which the configuration tells; the list
-    /// delays the endpoint, so a node of a large fleet asks only some, near ones first.
+    /// Returns the cache queries that are due.
+    ///
+    /// Only endpoints whose service has a model in the configuration can list their memory. The
+    /// list delays an endpoint, so a node queries only some of many endpoints. Those of its own
+    /// data centre come first.
     fn cache_queries(&mut self) -> Vec<CacheQuery> {
         let Some(config) = self.registry.config() else {
             return Vec::new();
         };
-        let wanted = std::mem::take(&mut self.cache_queries);
-        let states = wanted
+        let queries = std::mem::take(&mut self.cache_queries);
+        let states = queries
             .iter()
             .filter_map(|query| Some((query, self.state(query.key)?)));
         let mut due: Vec<(bool, CacheQuery)> = states
@@ -72,11 +75,12 @@
             })
             .map(|(query, state)| (state.info.place != self.options.data_centre, *query))
             .collect();
-        due.sort_by_key(|(far, _)| *far);
-        due.truncate(MOST_INQUIRIES);
+        due.sort_by_key(|(is_remote, _)| *is_remote);
+        due.truncate(MAX_CACHE_QUERIES);
         due.into_iter().map(|(_, query)| query).collect()
     }
 
+    /// Starts the probes that are due and returns them.
     fn probes(&mut self, now: Time) -> Vec<Probe> {
         let mut probes = Vec::new();
         for state in &mut self.states {
@@ -91,7 +95,7 @@
         probes
     }
 
-    /// Takes in what an endpoint's memory holds.
+    /// Records the prompt prefixes that an endpoint holds in memory.
     pub fn record_cached(&mut self, key: Key, parts: &[Prefix], now: Time) {
         if self.find(key).is_ok() {
             for part in parts {
@@ -100,7 +104,9 @@
         }
     }
 
-    /// Takes in the result of a probe.
+    /// Records the result of a probe.
+    ///
+    /// A failed probe soon after a broken attempt counts as a crash that its request caused.
     pub fn record_probe(&mut self, key: Key, accepted: bool, now: Time) {
         let Some(state) = self.state_mut(key) else {
             return;
@@ -115,17 +121,18 @@
         state.fail(now);
         self.prefixes.clear(key);
         let crashed = |suspect: &mut Suspect| suspect.key == key;
-        let culprits: Vec<Suspect> = self.suspects.extract_if(.., crashed).collect();
-        for suspect in culprits {
-            if now.saturating_sub(suspect.at) < CRASH {
+        let suspects: Vec<Suspect> = self.suspects.extract_if(.., crashed).collect();
+        for suspect in suspects {
+            if now.saturating_sub(suspect.broken_at) < CRASH_WINDOW {
                 self.crashes.record(suspect.fingerprint, key, now);
                 self.fleet.touch();
             }
         }
     }
 
-    /// An endpoint that is back after it could not be reached may have restarted, before its new
-    /// entry is known.
+    /// Treats an endpoint as cold that is reachable again.
+    ///
+    /// It may have restarted while it was unreachable, and its new entry may not be known yet.
     fn treat_as_cold(&mut self, key: Key, now: Time) {
         let Some(config) = self.registry.config().cloned() else {
             return;
@@ -140,7 +147,7 @@
         }
     }
 
-    /// Notes that an idle connection to an endpoint broke.
+    /// Records that an idle connection to an endpoint broke.
     pub fn suspect(&mut self, key: Key, now: Time) {
         if let Some(state) = self.state_mut(key) {
             state.suspect(now);
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/outcomes.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts end, what is learnt from it, and what follows.
+//! Outcomes of attempts: health and load updates, hedging and retries.
 
 use std::time::Duration;
 
@@ -15,21 +15,21 @@
     id::Time,
 };
 
-/// Rejections that one request bears.
+/// Number of rejections after which a request is not placed again.
 const MAX_REJECTIONS: u32 = 3;
 
-/// Time that must be left for another attempt.
-const WORTHWHILE: Duration = Duration::from_millis(50);
+/// Shortest time before the deadline that another attempt needs.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(50);
 
-/// Weight of an end that says little about the endpoint.
-const SLIGHT: f64 = 0.5;
+/// Weight of a rejection in the endpoint's health, since it says little about the endpoint.
+const REJECTION_WEIGHT: f64 = 0.5;
 
 impl Dispatcher {
-    /// Notes that the answer has begun: the prompt is read.
+    /// Records that the answer has begun, which means that the prompt has been read.
     pub fn record_answer_start(
         &mut self,
         attempt: &mut Attempt,
-        plain: bool,
+        is_plain: bool,
         flight: &Flight,
         now: Time,
     ) {
@@ -44,25 +44,25 @@
             state.own.subtract(unread);
             state.learn(expected, observed);
         }
-        if plain {
+        if is_plain {
             let observed = observed.as_secs_f64() * 1e3;
-            self.plain.add_sample(&flight.service, observed);
+            self.plain_answer_ms.add_sample(&flight.service, observed);
         }
         self.fleet.touch();
     }
 
-    /// Takes an attempt back and learns from how it ended.
+    /// Ends an attempt and updates load, health and expectations from its outcome.
     pub fn finish(&mut self, attempt: &Attempt, end: End, flight: &Flight, now: Time) {
         self.fleet.touch();
         if end == End::Finished {
             let whole = now.saturating_sub(attempt.sent).as_secs_f64() * 1e3;
-            self.whole.add_sample(&flight.service, whole);
+            self.whole_answer_ms.add_sample(&flight.service, whole);
         }
         let failed = matches!(end, End::Failed | End::Broken | End::Garbled);
-        let usual = match end {
+        let usual_failure_rate = match end {
             End::Cancelled => 0.0,
             _ => self
-                .failing
+                .failure_rate
                 .add_sample(&flight.route.name, f64::from(u8::from(failed))),
         };
         let key = attempt.key;
@@ -70,8 +70,10 @@
             state.own.subtract(attempt.load);
             match end {
                 End::Finished => state.health.note(true, 1.0, now),
-                End::Failed => state.health.note(false, (1.0 - usual).max(0.0), now),
-                End::Rejected => state.health.note(false, SLIGHT, now),
+                End::Failed => state
+                    .health
+                    .note(false, (1.0 - usual_failure_rate).max(0.0), now),
+                End::Rejected => state.health.note(false, REJECTION_WEIGHT, now),
                 End::Broken | End::Garbled | End::Silent => state.health.note(false, 1.0, now),
                 End::TimedOut if attempt.load.unread > 0 => state.health.note(false, 1.0, now),
                 _ => {}
@@ -89,18 +91,20 @@
             End::Broken => self.suspects.push(Suspect {
                 key,
                 fingerprint: flight.fingerprint,
-                at: now,
+                broken_at: now,
             }),
             End::Finished => self.crashes.clear(flight.fingerprint),
             _ => {}
         }
     }
 
-    /// Decides whether a slow attempt should be given up for another endpoint, and pays for that.
+    /// Returns whether to abandon a slow attempt and try another endpoint.
+    ///
+    /// If so, a retry is taken from the service's budget.
     pub fn try_hedge(&mut self, flight: &Flight, now: Time) -> bool {
         let nodes = self.fleet.size(self.options.regions.len(), now);
         flight.may_run_after(flight.runs + 1)
-            && flight.time_left(now) > WORTHWHILE
+            && flight.time_left(now) > MIN_ATTEMPT_TIME
             && self
                 .states
                 .iter()
@@ -108,30 +112,30 @@
             && self.budget.take_retry(&flight.service, nodes, now)
     }
 
-    /// Decides what follows an attempt without a whole answer.
+    /// Returns the next step after an attempt without a complete answer.
     pub fn next_step(&mut self, flight: &mut Flight, end: End, now: Time) -> Next {
         let nodes = self.fleet.size(self.options.regions.len(), now);
         match end.verdict() {
             Verdict::NotRun => {
-                let worthwhile = flight.time_left(now) > WORTHWHILE;
-                let sent = end != End::Unreachable;
-                flight.rejections += u32::from(sent);
-                let bearable = flight.rejections <= MAX_REJECTIONS;
-                if worthwhile
-                    && bearable
-                    && (!sent || self.budget.take_retry(&flight.service, nodes, now))
+                let enough_time = flight.time_left(now) > MIN_ATTEMPT_TIME;
+                let was_sent = end != End::Unreachable;
+                flight.rejections += u32::from(was_sent);
+                let few_rejections = flight.rejections <= MAX_REJECTIONS;
+                if enough_time
+                    && few_rejections
+                    && (!was_sent || self.budget.take_retry(&flight.service, nodes, now))
                 {
                     return Next::Retry;
                 }
-                let wait = self.return_time(flight, now);
+                let wait = self.retry_after(flight, now);
                 Next::GiveUp(give_up(flight, Cause::Rejected, Some(wait)))
             }
             Verdict::MayHaveRun | Verdict::Ran => {
                 flight.runs += 1;
-                let struck = self.crashes.count(flight.fingerprint) >= crashes::LIMIT;
+                let quarantined = self.crashes.count(flight.fingerprint) >= crashes::LIMIT;
                 if flight.may_run_after(flight.runs)
-                    && flight.time_left(now) > WORTHWHILE
-                    && !struck
+                    && flight.time_left(now) > MIN_ATTEMPT_TIME
+                    && !quarantined
                     && self.budget.take_retry(&flight.service, nodes, now)
                 {
                     return Next::Retry;
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/pauses.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/pauses.rs
@@ -1,4 +1,4 @@
-//! How long streams pause, and which of them are late beside long prompts.
+//! Pauses of streams, and the routes whose streams miss their target while long prompts are read.
 
 use std::time::Duration;
 
@@ -6,42 +6,45 @@
 use crate::dispatch::config::Route;
 
 impl Dispatcher {
-    /// Learns a pause of a stream at one endpoint if it is longer than usual, and returns whether it
-    /// is; the stream counts once, and at its end otherwise.
+    /// Records a pause of a stream at one endpoint if it is longer than usual.
+    ///
+    /// Returns whether it is. Each stream counts once: at its first long pause, or at its end
+    /// through [`Self::record_steady_stream`].
     ///
     /// The running value approaches the longest pause that nine of ten streams stay within.
     pub fn record_pause(&mut self, service: &str, pause: Duration) -> bool {
-        /// Change for a stream with a longer pause, in milliseconds.
-        const UP: f64 = 9.0;
-        let value = self.pauses.value_mut(service);
+        /// Increase of the running value for a stream with a longer pause, in milliseconds.
+        const INCREASE_MS: f64 = 9.0;
+        let value = self.pause_ms.value_mut(service);
         let longer = pause.as_secs_f64() * 1e3 > *value;
         if longer {
-            *value += UP;
+            *value += INCREASE_MS;
         }
         longer
     }
 
-    /// Learns from a whole stream at one endpoint that had no long pause.
+    /// Records a complete stream at one endpoint that had no long pause.
     pub fn record_steady_stream(&mut self, service: &str) {
-        /// Change for such a stream, in milliseconds.
-        const DOWN: f64 = 1.0;
-        let value = self.pauses.value_mut(service);
-        *value = (*value - DOWN).max(0.0);
+        /// Decrease of the running value for a stream without a long pause, in milliseconds.
+        const DECREASE_MS: f64 = 1.0;
+        let value = self.pause_ms.value_mut(service);
+        *value = (*value - DECREASE_MS).max(0.0);
     }
 
-    /// Returns whether streams of a route are late beside long prompts: the pauses that those cause
-    /// exceed what the route allows.
+    /// Returns whether streams of a route miss their target while long prompts are read.
+    ///
+    /// They do if the pauses that the prompts cause exceed the pause that the route allows.
     pub(super) fn is_sensitive(&self, route: &Route, service: &str) -> bool {
-        /// Part of the allowed pause that leaves room for the way.
-        const ROOM: f64 = 0.85;
-        let pause = self.pauses.value(service);
+        /// Fraction of the allowed pause that is compared, which leaves time for the network.
+        const USABLE_FRACTION: f64 = 0.85;
+        let pause = self.pause_ms.value(service);
         route
             .gap
-            .is_some_and(|gap| pause > gap.as_secs_f64() * 1e3 * ROOM)
+            .is_some_and(|gap| pause > gap.as_secs_f64() * 1e3 * USABLE_FRACTION)
     }
 
-    /// Returns the shortest pause that is allowed to such streams of a service, if there are any.
-    pub(super) fn gap(&self, service: &str) -> Option<Duration> {
+    /// Returns the shortest allowed pause among the sensitive routes of a service, if any.
+    pub(super) fn shortest_sensitive_gap(&self, service: &str) -> Option<Duration> {
         let routes = self.registry.config()?.routes_to(service);
         routes
             .filter(|route| self.is_sensitive(route, service))
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
@@ -1,10 +1,10 @@
-//! What peers tell, and what they are told.
+//! Heartbeats from peers, and the status that this node sends to them.
 
 use std::time::Duration;
 
 use peridotdeck_wire::beat;
 
-use super::{Ahead, Dispatcher};
+use super::{Dispatcher, NewerRevision};
 use crate::{
     dispatch::{
         Node, data_centre,
@@ -16,28 +16,33 @@
     id::Time,
 };
 
-/// Time for which a peer may be ahead before a node that watches the publisher itself asks it.
-const BEHIND: Duration = Duration::from_millis(150);
+/// Time that a node which watches the publisher waits before it fetches a newer revision from
+/// a peer.
+const WATCHER_FETCH_DELAY: Duration = Duration::from_millis(150);
 
-/// The same for a peer in another data centre: one in the own will soon know as much.
-const FAR: Duration = Duration::from_millis(300);
+/// Shortest time that any node waits before it fetches a newer revision from another data
+/// centre, since a peer in its own will soon have the revision too.
+const REMOTE_FETCH_DELAY: Duration = Duration::from_millis(300);
 
-/// The same for a node that learns from peers.
-const FOLLOW: Duration = Duration::from_millis(20);
+/// Time that a node which does not watch the publisher waits before it fetches a newer
+/// revision from a peer.
+const FOLLOWER_FETCH_DELAY: Duration = Duration::from_millis(20);
 
 impl Dispatcher {
-    /// Takes in a peer's beat and returns the answer that it wants, if any, and whether it is new.
+    /// Handles a peer's heartbeat.
+    ///
+    /// Returns the reply that the peer requests, if any, and whether the peer is new.
     pub fn receive(&mut self, beat: &beat::Beat, now: Time) -> (Option<beat::Beat>, bool) {
         let heard = self.fleet.hear(beat, now);
-        self.follow_loads(&heard);
-        let near = beat.place == data_centre(&self.options.data_centre);
+        self.apply_peer_loads(&heard);
+        let is_local = beat.place == data_centre(&self.options.data_centre);
         for holding in &beat.holdings {
             if self.find(holding.endpoint).is_err() {
                 continue;
             }
             let (prefix, endpoint) = (holding.prefix, holding.endpoint);
             self.prefixes.note(prefix, endpoint, now);
-            if !near && self.prefixes.is_news(prefix, endpoint, now) {
+            if !is_local && self.prefixes.is_news(prefix, endpoint, now) {
                 self.fleet.tell(prefix, endpoint, false, now);
             }
         }
@@ -51,7 +56,7 @@
             self.crashes
                 .record(strike.fingerprint, strike.endpoint, now);
         }
-        self.note_ahead(beat, now);
+        self.note_newer_revisions(beat, now);
         let node = Node::from(beat.node);
         let answer = heard.answer.then(|| {
             let status = self.status(now);
@@ -60,7 +65,8 @@
         (answer, heard.joined)
     }
 
-    pub(super) fn follow_loads(&mut self, heard: &Heard) {
+    /// Applies changes of the load that peers have at endpoints.
+    pub(super) fn apply_peer_loads(&mut self, heard: &Heard) {
         for (key, load) in &heard.removed {
             if let Some(state) = self.state_mut(*key) {
                 state.foreign.subtract(*load);
@@ -73,9 +79,10 @@
         }
     }
 
-    fn note_ahead(&mut self, beat: &beat::Beat, now: Time) {
+    /// Records which areas a peer has in a newer revision, and confirms those that are equal.
+    fn note_newer_revisions(&mut self, beat: &beat::Beat, now: Time) {
         let node = Node::from(beat.node);
-        let near = beat.place == data_centre(&self.options.data_centre);
+        let is_local = beat.place == data_centre(&self.options.data_centre);
         for (area, revision) in [(Area::Policy, beat.policy), (Area::Roster, beat.roster)] {
             let known = self.registry.revision(area).changed;
             if revision == known {
@@ -85,29 +92,30 @@
                 continue;
             }
             let request = SnapshotRequest { node, area, known };
-            let ahead = Ahead {
+            let announced = NewerRevision {
                 request,
                 revision,
-                near,
+                is_local,
             };
             match self
-                .ahead
+                .newer_revisions
                 .iter_mut()
-                .find(|(each, _)| each.request.area == area)
+                .find(|(newer, _)| newer.request.area == area)
             {
-                // The way to a node of the own data centre is shorter, and not paid for.
-                Some((each, _)) if near && !each.near => *each = ahead,
+                // Traffic within a data centre has a shorter path and is not charged.
+                Some((newer, _)) if is_local && !newer.is_local => *newer = announced,
                 Some(_) => {}
-                None => self.ahead.push((ahead, now)),
+                None => self.newer_revisions.push((announced, now)),
             }
         }
     }
 
+    /// Returns the status that this node sends in its heartbeats.
     pub(super) fn status(&self, now: Time) -> Status {
-        /// Endpoints whose health is told: those that failed most.
-        const MOST_HEALTH: usize = 8;
-        /// Strikes that are told.
-        const MOST_STRIKES: usize = 8;
+        /// Number of endpoints whose health is sent: those with the most failures.
+        const MAX_HEALTH_ENTRIES: usize = 8;
+        /// Number of crashes that are sent.
+        const MAX_CRASHES: usize = 8;
         let busy = self
             .states
             .iter()
@@ -124,9 +132,9 @@
                 bad: eighths(bad),
             })
             .collect();
-        health.sort_unstable_by_key(|each| std::cmp::Reverse(each.bad));
-        health.truncate(MOST_HEALTH);
-        let strikes = self.crashes.recent(now).take(MOST_STRIKES);
+        health.sort_unstable_by_key(|health| std::cmp::Reverse(health.bad));
+        health.truncate(MAX_HEALTH_ENTRIES);
+        let strikes = self.crashes.recent(now).take(MAX_CRASHES);
         Status {
             policy: self.registry.revision(Area::Policy).changed,
             roster: self.registry.revision(Area::Roster).changed,
@@ -141,18 +149,28 @@
         }
     }
 
-    /// What peers know better for a while: this node's own way to the publisher may be cut.
+    /// Returns the requests for revisions that peers have had for a while and this node lacks.
+    ///
+    /// This node's own connection to the publisher may be cut.
     pub(super) fn snapshot_requests(&mut self, now: Time) -> Vec<SnapshotRequest> {
-        let own = if self.is_watcher(now) { BEHIND } else { FOLLOW };
-        let late = |(ahead, since): &mut (Ahead, Time)| {
-            let patience = if ahead.near { own } else { own.max(FAR) };
-            now.saturating_sub(*since) >= patience
+        let base_delay = if self.is_watcher(now) {
+            WATCHER_FETCH_DELAY
+        } else {
+            FOLLOWER_FETCH_DELAY
         };
-        let due: Vec<(Ahead, Time)> = self.ahead.extract_if(.., late).collect();
-        let snapshot_requests = due.into_iter().map(|(ahead, _)| ahead);
-        snapshot_requests
-            .filter(|ahead| ahead.revision > self.registry.revision(ahead.request.area).changed)
-            .map(|ahead| ahead.request)
+        let is_due = |(newer, since): &mut (NewerRevision, Time)| {
+            let delay = if newer.is_local {
+                base_delay
+            } else {
+                base_delay.max(REMOTE_FETCH_DELAY)
+            };
+            now.saturating_sub(*since) >= delay
+        };
+        let due: Vec<(NewerRevision, Time)> = self.newer_revisions.extract_if(.., is_due).collect();
+        let newer = due.into_iter().map(|(newer, _)| newer);
+        newer
+            .filter(|newer| newer.revision > self.registry.revision(newer.request.area).changed)
+            .map(|newer| newer.request)
             .collect()
     }
 }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
@@ -1,4 +1,4 @@
-//! Admission of requests, and where they go.
+//! Admission of requests, and the choice of an endpoint for each.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::{
     Dispatcher,
-    waiting::{BLIND, RETURN_PART, give_up},
+    waiting::{MAX_UNCONFIGURED_RETRY_AFTER, RETRY_AFTER_FRACTION, give_up},
 };
 use crate::{
     dispatch::{
@@ -24,20 +24,21 @@
     id::{Fingerprint, Time},
 };
 
-/// Largest random addition to a score, so that nodes that see the same choose differently.
-const JITTER: f64 = 8.0;
+/// Largest random addition to a score, so that nodes with the same view choose differently.
+const MAX_SCORE_JITTER: f64 = 8.0;
 
-/// Answers are awaited this many times longer than expected before another endpoint is asked.
+/// Multiple of the expected time to an answer after which another endpoint is tried.
 const HEDGE_FACTOR: f64 = 2.5;
 
-/// Shortest and longest part of the target after which another endpoint is asked.
-const HEDGE_PARTS: (f64, f64) = (0.4, 0.65);
+/// Smallest and largest fraction of the target after which another endpoint is tried.
+const HEDGE_TARGET_FRACTIONS: (f64, f64) = (0.4, 0.65);
 
 impl Dispatcher {
-    /// Finds the route and the organisation of a request and decides whether it may be served.
+    /// Admits a request: finds its route and organisation and chooses a service.
     ///
     /// # Errors
-    /// Why it is refused.
+    /// Returns the refusal if there is no configuration, no matching route or no valid key, or if
+    /// the request is quarantined.
     pub fn admit(
         &mut self,
         request: DecodedRequest,
@@ -45,26 +46,34 @@
         now: Time,
     ) -> Result<Flight, Refusal> {
         let Some(config) = self.registry.config().cloned() else {
-            let patience = request.max_wait.unwrap_or(BLIND);
-            let wait = self.spread(patience.mul_f64(RETURN_PART).min(BLIND));
+            let max_wait = request.max_wait.unwrap_or(MAX_UNCONFIGURED_RETRY_AFTER);
+            let wait = self.random_upper_third(
+                max_wait
+                    .mul_f64(RETRY_AFTER_FRACTION)
+                    .min(MAX_UNCONFIGURED_RETRY_AFTER),
+            );
             return Err(Refusal::not_run(Cause::Unconfigured, Some(wait)));
         };
         let refuse = |cause| Err(Refusal::not_run(cause, None));
         let Some(route) = config.route(&request.host, &request.path) else {
             return refuse(Cause::NoRoute);
         };
-        let holder = request
+        let key_owner = request
             .key
             .as_deref()
             .and_then(|key| config.organisation(key));
-        if holder.is_none() && !route.public && !config.organisations.is_empty() {
+        if key_owner.is_none() && !route.public && !config.organisations.is_empty() {
             return refuse(Cause::BadKey);
         }
-        let organisation = if route.public { None } else { holder.cloned() };
+        let organisation = if route.public {
+            None
+        } else {
+            key_owner.cloned()
+        };
         if self.crashes.count(fingerprint) >= crashes::LIMIT {
             return refuse(Cause::Quarantined);
         }
-        let patience = request.max_wait.unwrap_or(route.timeout).min(route.timeout);
+        let max_wait = request.max_wait.unwrap_or(route.timeout).min(route.timeout);
         let service = self.choose_service(&route.split);
         self.budget.count_request(&service, now);
         let rank = config.rank(route, organisation.as_deref());
@@ -74,24 +83,25 @@
             organisation,
             prompt: request.prompt,
             fingerprint,
-            deadline: now + patience,
+            deadline: now + max_wait,
             service,
             ..Flight::new(route.clone(), config.version, now)
         })
     }
 
+    /// Returns a service at random, in proportion to the weights.
     fn choose_service(&mut self, split: &[Share]) -> String {
         let total: u32 = split.iter().map(|share| share.weight).sum();
-        let mut left = if total > 0 {
+        let mut remaining = if total > 0 {
             self.rng.random_range(0..total)
         } else {
             0
         };
         for share in split {
-            if left < share.weight {
+            if remaining < share.weight {
                 return share.service.clone();
             }
-            left -= share.weight;
+            remaining -= share.weight;
         }
         split
             .first()
@@ -99,7 +109,7 @@
             .unwrap_or_default()
     }
 
-    /// Decides what to do with a request now.
+    /// Decides whether to send a request to an endpoint now, let it wait, or refuse it.
     pub fn place(&mut self, flight: &mut Flight, now: Time) -> Placement {
         if flight.time_left(now).is_zero() {
             return Placement::Refuse(give_up(flight, Cause::TimedOut, None), Vec::new());
@@ -116,18 +126,18 @@
             return Placement::Wait(delay);
         }
         for (key, estimate) in ranked {
-            match self.take(key, service, now) {
-                Ok(()) => return Placement::Send(self.send(key, estimate, flight, service, now)),
+            match self.admit_cold(key, service, now) {
+                Ok(()) => return Placement::Send(self.assign(key, estimate, flight, service, now)),
                 Err(bar) => bars.push(bar),
             }
         }
-        self.hold(flight, bars, now)
+        self.wait_or_refuse(flight, bars, now)
     }
 
-    /// Returns whether an endpoint may take a request, apart from how cold it is.
+    /// Checks whether an endpoint is eligible for a request, without regard to cold start.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Returns the first reason that excludes the endpoint.
     pub(super) fn admits(&self, state: &State, flight: &Flight) -> Result<(), Bar> {
         let info = &state.info;
         let closed = self.registry.closed().binary_search(&info.place).is_ok();
@@ -145,8 +155,8 @@
         }
     }
 
-    /// Returns what each endpoint holds of a prompt's beginning.
-    fn held(&self, flight: &Flight, now: Time) -> Vec<Held> {
+    /// Returns the cached tokens of a prompt at each endpoint.
+    fn cached_tokens(&self, flight: &Flight, now: Time) -> Vec<Held> {
         let held = |state: &State| {
             let mut held = Held::default();
             for part in &flight.prompt.shared {
@@ -163,60 +173,61 @@
         self.states.iter().map(held).collect()
     }
 
-    /// Returns how many tokens of a prompt's beginning were used anywhere lately.
-    fn recent(&self, flight: &Flight, now: Time) -> u32 {
-        let lately = |at: Time| now.saturating_sub(at) < self.options.reuse_window + REFRESH;
+    /// Returns the length of a prompt's longest prefix that any endpoint used recently, in tokens.
+    fn recent_tokens(&self, flight: &Flight, now: Time) -> u32 {
+        let is_recent = |used: Time| now.saturating_sub(used) < self.options.reuse_window + REFRESH;
         let mut parts = flight.prompt.shared.iter().rev();
-        let recent = parts.find(|part| self.prefixes.last_use(part.prefix).is_some_and(lately));
+        let recent = parts.find(|part| self.prefixes.last_use(part.prefix).is_some_and(is_recent));
         recent.map_or(0, |part| part.tokens)
     }
 
-    fn usual_pace(&self, service: &str) -> f64 {
-        let mut paces: Vec<f64> = self.peers(service).map(State::pace).collect();
-        paces.sort_by(f64::total_cmp);
-        paces.get(paces.len() / 2).copied().unwrap_or(1.0)
+    /// Returns the median slowdown of a service's endpoints; 1.0 if it has none.
+    fn median_slowdown(&self, service: &str) -> f64 {
+        let mut slowdowns: Vec<f64> = self.endpoints_of(service).map(State::pace).collect();
+        slowdowns.sort_by(f64::total_cmp);
+        slowdowns.get(slowdowns.len() / 2).copied().unwrap_or(1.0)
     }
 
     /// Returns the endpoints of a service.
-    pub(super) fn peers(&self, service: &str) -> impl Iterator<Item = &State> {
+    pub(super) fn endpoints_of(&self, service: &str) -> impl Iterator<Item = &State> {
         self.states
             .iter()
             .filter(move |state| state.info.service == service)
     }
 
-    /// Returns what each endpoint of a request's service would do for it, or why it may not take it.
+    /// Returns each endpoint of a request's service, with its estimate or the reason to exclude it.
     fn estimates(
         &self,
         flight: &Flight,
         service: &Service,
         now: Time,
     ) -> Vec<(&State, Result<Estimate, Bar>)> {
-        let held = self.held(flight, now);
+        let held = self.cached_tokens(flight, now);
         let name = &flight.service;
         let view = View {
             states: &self.states,
             held: &held,
             most: held.iter().copied().fold(Held::default(), Held::max),
-            recent: self.recent(flight, now),
-            gap: self.gap(name),
+            recent: self.recent_tokens(flight, now),
+            gap: self.shortest_sensitive_gap(name),
             sensitive: self.is_sensitive(&flight.route, name),
             place: &self.options.data_centre,
             region: &self.region,
-            plain_ms: self.plain.value(name),
-            whole_ms: self.whole.value(name),
-            usual_pace: self.usual_pace(name),
+            plain_ms: self.plain_answer_ms.value(name),
+            whole_ms: self.whole_answer_ms.value(name),
+            usual_pace: self.median_slowdown(name),
             now,
         };
         let estimate = |state| {
             self.admits(state, flight)
                 .map(|()| view.estimate(state, flight, service))
         };
-        self.peers(name)
+        self.endpoints_of(name)
             .map(|state| (state, estimate(state)))
             .collect()
     }
 
-    /// Returns the endpoints that may take a request, best first, and what bars the others.
+    /// Returns the eligible endpoints, best first, and the reasons that excluded the others.
     fn rank(
         &mut self,
         flight: &Flight,
@@ -232,15 +243,16 @@
             }
         }
         for (_, estimate) in &mut ranked {
-            estimate.score += JITTER * self.rng.random::<f64>();
+            estimate.score += MAX_SCORE_JITTER * self.rng.random::<f64>();
         }
         ranked.sort_by(|(_, one), (_, other)| one.score.total_cmp(&other.score));
         (ranked, bars)
     }
 
-    /// Returns what each endpoint would do for a request on a route, or why it may not take it.
+    /// Returns the estimate, or the reason for exclusion, of each endpoint for a route.
     ///
-    /// Nothing is returned if no route has the name.
+    /// The endpoints are those of the route's first service. Returns `None` if no route has the
+    /// name, or if the node has no configuration.
     #[must_use]
     pub fn explain(
         &self,
@@ -249,35 +261,41 @@
         now: Time,
     ) -> Option<Vec<(String, Result<Estimate, Bar>)>> {
         let config = self.registry.config()?;
-        let route = config.routes.iter().find(|each| each.name == route)?;
+        let route = config.routes.iter().find(|known| known.name == route)?;
         let service = route.split.first()?.service.clone();
         let mut flight = Flight::new(route.clone(), config.version, now);
         flight.prompt.tokens = tokens;
         let unknown = Service::default();
-        let kind = config.service(&service).unwrap_or(&unknown);
+        let service_config = config.service(&service).unwrap_or(&unknown);
         flight.service = service;
-        let estimates = self.estimates(&flight, kind, now).into_iter();
+        let estimates = self.estimates(&flight, service_config, now).into_iter();
         let named = estimates.map(|(state, estimate)| (state.info.id.clone(), estimate));
         Some(named.collect())
     }
 
-    /// A cold endpoint takes requests from a few nodes of its data centre, at a part of its rate.
+    /// Counts a request towards this node's share of a cold endpoint's rate.
     ///
-    /// Each of them may have saved up one request. Two sets of nodes that do not hear each other, and
-    /// both believe to be the senders, stay within one and a half times the rate and five together.
-    fn take(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Bar> {
-        /// Part of the rate that is given out.
-        const PART: f64 = 0.6;
-        /// Senders of an endpoint with the smallest rate, and for each request a second more.
-        const SENDERS: (f64, f64) = (2.5, 0.15);
-        let at = self.find(key).map_err(|_| Bar::Resting)?;
-        let state = &self.states[at];
+    /// A cold endpoint accepts requests from a few nodes of its data centre, at a fraction of its
+    /// rate. Each node may accumulate an allowance of one request. If the data centre is split into
+    /// two sets of nodes that cannot reach each other, each set may choose its own senders.
+    /// Together they send at most five requests plus one and a half times the rate.
+    ///
+    /// # Errors
+    /// Returns the reason if the endpoint is cold and this node may not send to it now.
+    fn admit_cold(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Bar> {
+        /// Fraction of the rate that all senders together may use.
+        const USED_FRACTION: f64 = 0.6;
+        /// Number of senders to an endpoint with a rate near 0, and the increase for each request
+        /// per second.
+        const SENDER_COUNT: (f64, f64) = (2.5, 0.15);
+        let index = self.find(key).map_err(|_| Bar::Resting)?;
+        let state = &self.states[index];
         let rate = service.cold_rate;
         if rate <= 0.0 || !state.is_cold(now) {
             return Ok(());
         }
         let here = data_centre(&self.options.data_centre);
-        let senders = (SENDERS.0 + SENDERS.1 * rate) as usize;
+        let senders = (SENDER_COUNT.0 + SENDER_COUNT.1 * rate) as usize;
         if state.info.place != self.options.data_centre
             || self.fleet.is_isolated(now)
             || !self.fleet.is_among(senders, key, now)
@@ -285,12 +303,13 @@
             return Err(Bar::ColdElsewhere);
         }
         let senders = senders.min(self.fleet.live(here, now).len()).max(1);
-        let share = rate * PART / senders as f64;
-        let taken = self.states[at].take_cold(share, now);
+        let share = rate * USED_FRACTION / senders as f64;
+        let taken = self.states[index].take_cold(share, now);
         taken.map_err(|_| Bar::Cold)
     }
 
-    fn send(
+    /// Assigns a request to an endpoint and records the use of its prompt prefixes there.
+    fn assign(
         &mut self,
         key: Key,
         estimate: Estimate,
@@ -344,11 +363,14 @@
     }
 }
 
-/// Returns the time after which a repeatable request is better asked elsewhere.
+/// Returns the time after which another endpoint is tried, if the request may run again.
 fn hedge_after(flight: &Flight, estimate: &Estimate) -> Option<Duration> {
     let target = flight.route.target;
     let expected = estimate.first.mul_f64(HEDGE_FACTOR);
-    let (least, most) = (target.mul_f64(HEDGE_PARTS.0), target.mul_f64(HEDGE_PARTS.1));
-    let may = flight.may_run_after(flight.runs + 1);
-    may.then(|| expected.clamp(least, most))
+    let (least, most) = (
+        target.mul_f64(HEDGE_TARGET_FRACTIONS.0),
+        target.mul_f64(HEDGE_TARGET_FRACTIONS.1),
+    );
+    let may_rerun = flight.may_run_after(flight.runs + 1);
+    may_rerun.then(|| expected.clamp(least, most))
 }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
@@ -1,4 +1,4 @@
-//! Who waits at its node, how long, and when a refused caller may return.
+//! Waiting of requests at their node, and the time after which a refused caller may retry.
 
 use std::time::Duration;
 
@@ -17,38 +17,40 @@
     id::Time,
 };
 
-/// Part of the target for which a request waits for an endpoint before it is refused.
-const HOLD_PART: f64 = 0.3;
+/// Fraction of the target for which a request waits for an eligible endpoint, then is refused.
+const WAIT_TARGET_FRACTION: f64 = 0.3;
 
-/// Shortest time for which a request waits for an endpoint.
-const HOLD: Duration = Duration::from_millis(100);
+/// Shortest time for which a request waits for an eligible endpoint before it is refused.
+const MIN_WAIT: Duration = Duration::from_millis(100);
 
-/// Shortest and longest time that a refused caller is told to stay away.
-const RETURN: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(2));
+/// Shortest and longest retry delay that is sent to a refused caller.
+const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(300), Duration::from_secs(2));
 
-/// Longest time that callers are told to stay away from a node without a configuration: what
-/// publishes it is down, and nobody knows for how long.
-pub(super) const BLIND: Duration = Duration::from_secs(4);
+/// Longest retry delay that a node without a configuration sends to callers. Its publisher is
+/// down for an unknown time.
+pub(super) const MAX_UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_secs(4);
 
-/// Part of the caller's time that it may be told to stay away: callers ignore longer ones.
-pub(super) const RETURN_PART: f64 = 0.3;
+/// Largest fraction of the caller's time that a retry delay may take, since callers ignore
+/// longer delays.
+pub(super) const RETRY_AFTER_FRACTION: f64 = 0.3;
 
-/// Part of an engine's batch that requests of the least urgent class may fill: those that are more
-/// urgent would displace them, and what they have read would be read again.
-const BATCH_PART: f64 = 0.9;
+/// Fraction of an engine's batch that requests of the least urgent class may fill. In a fuller
+/// batch more urgent requests would displace them, and their prompts would be read again.
+const BATCH_FILL_FRACTION: f64 = 0.9;
 
-/// Part of the target within which a request that is late anyway should be answered once it is sent.
-const SPARE_PART: f64 = 0.5;
+/// Fraction of the target within which a late request should be answered after it is sent.
+const LATE_ANSWER_FRACTION: f64 = 0.5;
 
-/// Targets for which a request of the least urgent class waits at most.
-const PATIENCE: f64 = 1.5;
+/// Longest wait of a request of the least urgent class, as a multiple of its target.
+const MAX_WAIT_TARGETS: f64 = 1.5;
 
 impl Dispatcher {
-    /// Returns how long a request should wait here although an endpoint may take it, if it should.
+    /// Returns the delay for a request that should wait although an endpoint is eligible.
     ///
-    /// In a burst of the least urgent class the engines are full. What is sent to them then displaces
-    /// others or is displaced, and makes those late that would still be on time. What would be late
-    /// anyway waits, within bounds, until an engine has room.
+    /// In a burst of the least urgent class the engines are full. A request that is sent to them
+    /// then displaces others or is displaced, and delays requests that would still be on time. A
+    /// request that would be late anyway therefore waits, within bounds, until an engine has room.
     pub(super) fn defer(
         &mut self,
         flight: &Flight,
@@ -60,32 +62,34 @@
         let model = service.model?;
         let target = flight.route.target;
         let waited = now.saturating_sub(flight.arrived);
-        let may_wait = waited < target.mul_f64(PATIENCE) && flight.runs == 0;
-        if !may_wait || self.fleet.is_leaving() || !self.yields(flight) {
+        let may_wait = waited < target.mul_f64(MAX_WAIT_TARGETS) && flight.runs == 0;
+        if !may_wait || self.fleet.is_leaving() || !self.is_least_urgent(flight) {
             return None;
         }
         let running = self.state(key)?.load().running;
         let expected = estimate.first;
-        let cause = if f64::from(running) > f64::from(model.slots) * BATCH_PART {
+        let cause = if f64::from(running) > f64::from(model.slots) * BATCH_FILL_FRACTION {
             WaitCause::Full
-        } else if waited + expected > target && expected > target.mul_f64(SPARE_PART) {
+        } else if waited + expected > target && expected > target.mul_f64(LATE_ANSWER_FRACTION) {
             WaitCause::Late
         } else {
             return None;
         };
-        // Requests that look again at different times do not meet at the same engine.
-        let stretch = 1.0 + 2.0 * self.rng.random::<f64>();
-        let short = Delay::poll(cause);
+        // Random delays keep requests from retrying together at the same engine.
+        let jitter = 1.0 + 2.0 * self.rng.random::<f64>();
+        let regular = Delay::poll(cause);
         Some(Delay {
-            time: short.time.mul_f64(stretch),
+            time: regular.time.mul_f64(jitter),
             running,
             expected,
-            ..short
+            ..regular
         })
     }
 
-    /// Returns whether a request's route is the least urgent of several of its service.
-    fn yields(&self, flight: &Flight) -> bool {
+    /// Returns whether a request's route is among the least urgent of its service's routes.
+    ///
+    /// It is not if all routes of the service have the same priority.
+    fn is_least_urgent(&self, flight: &Flight) -> bool {
         let Some(config) = self.registry.config() else {
             return false;
         };
@@ -102,32 +106,49 @@
         first < own && own >= last
     }
 
-    /// Waits for an endpoint that may take a request, or refuses it after a while.
-    pub(super) fn hold(&mut self, flight: &mut Flight, bars: Vec<Bar>, now: Time) -> Placement {
-        let target = flight.route.target.mul_f64(HOLD_PART).max(HOLD);
+    /// Lets a request without an eligible endpoint wait, or refuses it after a bounded wait.
+    ///
+    /// If the regions that may serve the request exclude every endpoint, it is refused immediately.
+    pub(super) fn wait_or_refuse(
+        &mut self,
+        flight: &mut Flight,
+        bars: Vec<Bar>,
+        now: Time,
+    ) -> Placement {
+        let max_wait = flight
+            .route
+            .target
+            .mul_f64(WAIT_TARGET_FRACTION)
+            .max(MIN_WAIT);
         let since = *flight.waiting_since.get_or_insert(now);
-        let hopeless = bars.iter().all(|bar| *bar == Bar::Region) && !bars.is_empty();
-        if !hopeless && now.saturating_sub(since) < target.min(flight.time_left(now)) {
+        let excluded_by_region = bars.iter().all(|bar| *bar == Bar::Region) && !bars.is_empty();
+        if !excluded_by_region && now.saturating_sub(since) < max_wait.min(flight.time_left(now)) {
             return Placement::Wait(Delay::poll(WaitCause::NoEndpoint));
         }
-        let wait = self.return_time(flight, now);
+        let wait = self.retry_after(flight, now);
         Placement::Refuse(give_up(flight, Cause::NoEndpoint, Some(wait)), bars)
     }
 
-    /// Returns a time in the last third up to `most`, so that callers do not return together.
-    pub(super) fn spread(&mut self, most: Duration) -> Duration {
+    /// Returns a random time between two thirds of `most` and `most`, so that callers do not retry
+    /// together.
+    pub(super) fn random_upper_third(&mut self, most: Duration) -> Duration {
         most.mul_f64(1.0 - self.rng.random::<f64>() / 3.0)
     }
 
-    /// Returns spread over the time in which endpoints come back, within what callers heed.
-    pub(super) fn return_time(&mut self, flight: &Flight, now: Time) -> Duration {
-        let most = flight.time_left(now).mul_f64(RETURN_PART).min(RETURN.1);
-        let least = RETURN.0.min(most);
+    /// Returns a random retry delay over the time in which endpoints usually recover.
+    ///
+    /// It is limited to the delays that callers respect.
+    pub(super) fn retry_after(&mut self, flight: &Flight, now: Time) -> Duration {
+        let most = flight
+            .time_left(now)
+            .mul_f64(RETRY_AFTER_FRACTION)
+            .min(RETRY_AFTER_BOUNDS.1);
+        let least = RETRY_AFTER_BOUNDS.0.min(most);
         least + most.saturating_sub(least).mul_f64(self.rng.random::<f64>())
     }
 }
 
-/// Ends a flight with what is true of it.
+/// Returns the refusal that ends a request, with the verdict that follows from its runs.
 pub(super) fn give_up(flight: &Flight, cause: Cause, wait: Option<Duration>) -> Refusal {
     if flight.runs > 0 {
         Refusal::may_have_run(cause)
--- a/crates/peridotdeck-core/src/dispatch/flight.rs
+++ b/crates/peridotdeck-core/src/dispatch/flight.rs
@@ -111,9 +111,8 @@
     /// Returns whether the route and the organisation allow a region to serve the request.
     #[must_use]
     pub fn may_run_in(&self, region: &str) -> bool {
-        let allows = |regions: &[String]| {
-            regions.is_empty() || regions.iter().any(|allowed| allowed == region)
-        };
+        let allows =
+            |regions: &[String]| regions.is_empty() || regions.iter().any(|name| name == region);
         let organisation = self.organisation.as_ref();
         allows(&self.route.regions)
             && organisation.is_none_or(|organisation| allows(&organisation.regions))
