--- a/crates/peridotdeck-core/src/dispatch/attempt.rs
+++ b/crates/peridotdeck-core/src/dispatch/attempt.rs
@@ -7,7 +7,7 @@
 use super::{
     Key,
     endpoint::Load,
-    placement::{Bar, Estimate},
+    placement::{Estimate, Exclusion},
     refusal::Refusal,
 };
 use crate::{Verdict, id::Time};
@@ -20,7 +20,7 @@
     /// Ask again after a while.
     Wait(Delay),
     /// Tell the caller.
-    Refuse(Refusal, Vec<Bar>),
+    Refuse(Refusal, Vec<Exclusion>),
 }
 
 /// Why a request waits at its node.
--- a/crates/peridotdeck-core/src/dispatch/dispatcher.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher.rs
@@ -167,7 +167,7 @@
     /// Returns whether this node should watch the publisher itself, or learns from peers that do.
     #[must_use]
     pub fn is_watcher(&self, now: Time) -> bool {
-        self.registry.config().is_none() || self.fleet.is_among(WATCHERS, WATCH_KEY, now)
+        self.registry.config().is_none() || self.fleet.is_among_first(WATCHERS, WATCH_KEY, now)
     }
 
     /// Starts to leave.
@@ -182,7 +182,7 @@
 
     /// Notes that the publisher cannot be read.
     pub fn note_trouble(&mut self, now: Time) {
-        self.registry.note_trouble(now);
+        self.registry.note_publisher_failure(now);
     }
 
     /// Takes in what the publisher reports.
@@ -201,7 +201,7 @@
 
     fn follow(&mut self, change: &Change, now: Time) {
         if *change != Change::default() {
-            self.fleet.touch();
+            self.fleet.mark_changed();
         }
         let first = self.states.is_empty() && self.options.inherits;
         for endpoint in &change.removed {
@@ -212,9 +212,9 @@
             match self.find(key) {
                 Ok(at) => self.states[at].update(endpoint.clone(), now),
                 Err(at) => {
-                    let region = region(&self.options.regions, &endpoint.place);
+                    let region = region(&self.options.regions, &endpoint.data_centre);
                     let mut state = State::new(endpoint.clone(), region, now);
-                    state.foreign = self.fleet.load(key);
+                    state.peer_load = self.fleet.load_at(key);
                     if first {
                         let address = endpoint.address;
                         self.inquiries.push(Inquiry { key, address });
@@ -230,7 +230,7 @@
         if let Ok(at) = self.find(key) {
             self.states.remove(at);
         }
-        self.prefixes.clear(key);
+        self.prefixes.remove_endpoint(key);
     }
 
     fn find(&self, key: Key) -> Result<usize, usize> {
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/ends.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/ends.rs
@@ -35,19 +35,19 @@
         attempt.load.unread = 0;
         let expected = attempt.expected;
         if let Some(state) = self.state_mut(attempt.key) {
-            state.own.subtract(unread);
-            state.learn(expected, observed);
+            state.own_load.subtract(unread);
+            state.record_answer_time(expected, observed);
         }
         if plain {
             let observed = observed.as_secs_f64() * 1e3;
             self.plain.learn(&flight.service, observed);
         }
-        self.fleet.touch();
+        self.fleet.mark_changed();
     }
 
     /// Takes an attempt back and learns from how it ended.
     pub fn finish(&mut self, attempt: &Attempt, end: End, flight: &Flight, now: Time) {
-        self.fleet.touch();
+        self.fleet.mark_changed();
         if end == End::Finished {
             let whole = now.saturating_sub(attempt.sent).as_secs_f64() * 1e3;
             self.whole.learn(&flight.service, whole);
@@ -61,23 +61,23 @@
         };
         let key = attempt.key;
         if let Some(state) = self.state_mut(key) {
-            state.own.subtract(attempt.load);
+            state.own_load.subtract(attempt.load);
             match end {
-                End::Finished => state.health.note(true, 1.0, now),
-                End::Failed => state.health.note(false, (1.0 - usual).max(0.0), now),
-                End::Rejected => state.health.note(false, SLIGHT, now),
-                End::Broken | End::Garbled | End::Silent => state.health.note(false, 1.0, now),
-                End::TimedOut if attempt.load.unread > 0 => state.health.note(false, 1.0, now),
+                End::Finished => state.health.record(true, 1.0, now),
+                End::Failed => state.health.record(false, (1.0 - usual).max(0.0), now),
+                End::Rejected => state.health.record(false, SLIGHT, now),
+                End::Broken | End::Garbled | End::Silent => state.health.record(false, 1.0, now),
+                End::TimedOut if attempt.load.unread > 0 => state.health.record(false, 1.0, now),
                 _ => {}
             }
             match end {
                 End::Broken | End::Silent => state.suspect(now),
-                End::Unreachable => state.fail(now),
+                End::Unreachable => state.record_unreachable(now),
                 _ => {}
             }
         }
         if matches!(end, End::Unreachable | End::Misdirected) {
-            self.prefixes.clear(key);
+            self.prefixes.remove_endpoint(key);
         }
         match end {
             End::Broken => self.suspects.push(Suspect {
@@ -92,7 +92,7 @@
 
     /// Decides whether a slow attempt should be given up for another endpoint, and pays for that.
     pub fn may_hedge(&mut self, flight: &Flight, now: Time) -> bool {
-        let nodes = self.fleet.size(self.options.regions.len(), now);
+        let nodes = self.fleet.recent_size(self.options.regions.len(), now);
         flight.may_run_after(flight.runs + 1)
             && flight.left(now) > WORTHWHILE
             && self
@@ -104,7 +104,7 @@
 
     /// Decides what follows an attempt without a whole answer.
     pub fn next(&mut self, flight: &mut Flight, end: End, now: Time) -> Next {
-        let nodes = self.fleet.size(self.options.regions.len(), now);
+        let nodes = self.fleet.recent_size(self.options.regions.len(), now);
         match end.verdict() {
             Verdict::NotRun => {
                 let worthwhile = flight.left(now) > WORTHWHILE;
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
@@ -10,7 +10,7 @@
         Node,
         due::Errand,
         endpoint::Load,
-        fleet::{Heard, Status},
+        fleet::{Changes, Status},
         place,
         registry::Area,
     },
@@ -29,7 +29,7 @@
 impl Dispatcher {
     /// Takes in a peer's beat and returns the answer that it wants, if any, and whether it is new.
     pub fn hear(&mut self, beat: &beat::Beat, now: Time) -> (Option<beat::Beat>, bool) {
-        let heard = self.fleet.hear(beat, now);
+        let heard = self.fleet.receive(beat, now);
         self.follow_loads(&heard);
         let near = beat.place == place(&self.options.place);
         for holding in &beat.holdings {
@@ -37,15 +37,15 @@
                 continue;
             }
             let (prefix, endpoint) = (holding.prefix, holding.endpoint);
-            self.prefixes.note(prefix, endpoint, now);
-            if !near && self.prefixes.is_news(prefix, endpoint, now) {
-                self.fleet.tell(prefix, endpoint, false, now);
+            self.prefixes.record_use(prefix, endpoint, now);
+            if !near && self.prefixes.mark_announced_if_due(prefix, endpoint, now) {
+                self.fleet.announce_prefix(prefix, endpoint, false, now);
             }
         }
         for health in &beat.health {
             if let Some(state) = self.state_mut(health.endpoint) {
                 let (good, bad) = (f64::from(health.good) / 8.0, f64::from(health.bad) / 8.0);
-                state.told.set(good, bad, now);
+                state.peer_health.set(good, bad, now);
             }
         }
         for strike in &beat.strikes {
@@ -53,22 +53,22 @@
         }
         self.note_ahead(beat, now);
         let node = Node::from(beat.node);
-        let answer = heard.answer.then(|| {
+        let answer = heard.reply_requested.then(|| {
             let status = self.status(now);
-            self.fleet.answer(node, &status, now)
+            self.fleet.reply(node, &status, now)
         });
         (answer, heard.joined)
     }
 
-    pub(super) fn follow_loads(&mut self, heard: &Heard) {
+    pub(super) fn follow_loads(&mut self, heard: &Changes) {
         for (key, load) in &heard.removed {
             if let Some(state) = self.state_mut(*key) {
-                state.foreign.subtract(*load);
+                state.peer_load.subtract(*load);
             }
         }
         for (key, load) in &heard.added {
             if let Some(state) = self.state_mut(*key) {
-                state.foreign.add(*load);
+                state.peer_load.add(*load);
             }
         }
     }
@@ -111,7 +111,7 @@
         let busy = self
             .states
             .iter()
-            .filter(|state| state.own != Load::default());
+            .filter(|state| state.own_load != Load::default());
         let eighths = |weight: f64| (weight * 8.0).round() as u32;
         let mut health: Vec<beat::Health> = self
             .states
@@ -130,7 +130,7 @@
         Status {
             policy: self.registry.revision(Area::Policy).changed,
             roster: self.registry.revision(Area::Roster).changed,
-            loads: busy.map(|state| (state.key, state.own)).collect(),
+            loads: busy.map(|state| (state.key, state.own_load)).collect(),
             health,
             strikes: strikes
                 .map(|strike| beat::Strike {
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
@@ -16,7 +16,7 @@
         endpoint::{Load, State},
         flight::{Ask, Flight},
         place,
-        placement::{Bar, Estimate, Held, View, is_urgent},
+        placement::{CachedTokens, Estimate, Exclusion, View, is_urgent},
         prefix::{Index, REFRESH},
         refusal::{Cause, Refusal},
         registry::Area,
@@ -126,16 +126,20 @@
     ///
     /// # Errors
     /// Why it may not.
-    pub(super) fn admits(&self, state: &State, flight: &Flight) -> Result<(), Bar> {
+    pub(super) fn admits(&self, state: &State, flight: &Flight) -> Result<(), Exclusion> {
         let info = &state.info;
-        let closed = self.registry.closed().binary_search(&info.place).is_ok();
+        let closed = self
+            .registry
+            .closed()
+            .binary_search(&info.data_centre)
+            .is_ok();
         let bars = [
-            (info.service != flight.service, Bar::Service),
-            (!flight.may_run_in(&state.region), Bar::Region),
-            (closed, Bar::Closed),
-            (info.draining, Bar::Draining),
-            (flight.tried.contains(&state.key), Bar::Tried),
-            (state.is_resting(), Bar::Resting),
+            (info.service != flight.service, Exclusion::Service),
+            (!flight.may_run_in(&state.region), Exclusion::Region),
+            (closed, Exclusion::Closed),
+            (info.draining, Exclusion::Draining),
+            (flight.tried.contains(&state.key), Exclusion::Tried),
+            (state.is_in_backoff(), Exclusion::Resting),
         ];
         match bars.iter().find(|(barred, _)| *barred) {
             Some((_, bar)) => Err(*bar),
@@ -144,9 +148,9 @@
     }
 
     /// Returns what each endpoint holds of a prompt's beginning.
-    fn held(&self, flight: &Flight, now: Time) -> Vec<Held> {
+    fn held(&self, flight: &Flight, now: Time) -> Vec<CachedTokens> {
         let held = |state: &State| {
-            let mut held = Held::default();
+            let mut held = CachedTokens::default();
             for part in &flight.prompt.shared {
                 let Some(age) = self.prefixes.age(part.prefix, state.key, now) else {
                     break;
@@ -170,7 +174,7 @@
     }
 
     fn usual_pace(&self, service: &str) -> f64 {
-        let mut paces: Vec<f64> = self.peers(service).map(State::pace).collect();
+        let mut paces: Vec<f64> = self.peers(service).map(State::slowdown).collect();
         paces.sort_by(f64::total_cmp);
         paces.get(paces.len() / 2).copied().unwrap_or(1.0)
     }
@@ -188,21 +192,24 @@
         flight: &Flight,
         service: &Service,
         now: Time,
-    ) -> Vec<(&State, Result<Estimate, Bar>)> {
+    ) -> Vec<(&State, Result<Estimate, Exclusion>)> {
         let held = self.held(flight, now);
         let name = &flight.service;
         let view = View {
             states: &self.states,
-            held: &held,
-            most: held.iter().copied().fold(Held::default(), Held::max),
+            cached: &held,
+            most_cached: held
+                .iter()
+                .copied()
+                .fold(CachedTokens::default(), CachedTokens::max),
             recent: self.recent(flight, now),
-            gap: self.gap(name),
-            sensitive: self.is_sensitive(&flight.route, name),
-            place: &self.options.place,
+            max_token_gap: self.gap(name),
+            gap_sensitive: self.is_sensitive(&flight.route, name),
+            data_centre: &self.options.place,
             region: &self.region,
             plain_ms: self.plain.value(name),
-            whole_ms: self.whole.value(name),
-            usual_pace: self.usual_pace(name),
+            whole_answer_ms: self.whole.value(name),
+            median_slowdown: self.usual_pace(name),
             now,
         };
         let estimate = |state| {
@@ -220,7 +227,7 @@
         flight: &Flight,
         service: &Service,
         now: Time,
-    ) -> (Vec<(Key, Estimate)>, Vec<Bar>) {
+    ) -> (Vec<(Key, Estimate)>, Vec<Exclusion>) {
         let mut ranked = Vec::new();
         let mut bars = Vec::new();
         for (state, estimate) in self.estimates(flight, service, now) {
@@ -245,7 +252,7 @@
         route: &str,
         tokens: u32,
         now: Time,
-    ) -> Option<Vec<(String, Result<Estimate, Bar>)>> {
+    ) -> Option<Vec<(String, Result<Estimate, Exclusion>)>> {
         let config = self.registry.config()?;
         let route = config.routes.iter().find(|each| each.name == route)?;
         let service = route.split.first()?.service.clone();
@@ -263,12 +270,12 @@
     ///
     /// Each of them may have saved up one request. Two sets of nodes that do not hear each other, and
     /// both believe to be the senders, stay within one and a half times the rate and five together.
-    fn take(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Bar> {
+    fn take(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Exclusion> {
         /// Part of the rate that is given out.
         const PART: f64 = 0.6;
         /// Senders of an endpoint with the smallest rate, and for each request a second more.
         const SENDERS: (f64, f64) = (2.5, 0.15);
-        let at = self.find(key).map_err(|_| Bar::Resting)?;
+        let at = self.find(key).map_err(|_| Exclusion::Resting)?;
         let state = &self.states[at];
         let rate = service.cold_rate;
         if rate <= 0.0 || !state.is_cold(now) {
@@ -276,16 +283,16 @@
         }
         let here = place(&self.options.place);
         let senders = (SENDERS.0 + SENDERS.1 * rate) as usize;
-        if state.info.place != self.options.place
+        if state.info.data_centre != self.options.place
             || self.fleet.is_isolated(now)
-            || !self.fleet.is_among(senders, key, now)
+            || !self.fleet.is_among_first(senders, key, now)
         {
-            return Err(Bar::ColdElsewhere);
+            return Err(Exclusion::ColdElsewhere);
         }
-        let senders = senders.min(self.fleet.live(here, now).len()).max(1);
+        let senders = senders.min(self.fleet.live_nodes(here, now).len()).max(1);
         let share = rate * PART / senders as f64;
-        let taken = self.states[at].take_cold(share, now);
-        taken.map_err(|_| Bar::Cold)
+        let taken = self.states[at].admit_while_cold(share, now);
+        taken.map_err(|_| Exclusion::Cold)
     }
 
     fn send(
@@ -300,13 +307,13 @@
         flight.tried.push(key);
         if service.model.is_some() {
             for part in &flight.prompt.shared {
-                self.prefixes.note(part.prefix, key, now);
-                if self.prefixes.is_news(part.prefix, key, now) {
-                    self.fleet.tell(part.prefix, key, true, now);
+                self.prefixes.record_use(part.prefix, key, now);
+                if self.prefixes.mark_announced_if_due(part.prefix, key, now) {
+                    self.fleet.announce_prefix(part.prefix, key, true, now);
                 }
             }
         }
-        self.fleet.touch();
+        self.fleet.mark_changed();
         let source = estimate.source.and_then(|source| self.state(source));
         let source = source.map(|state| state.info.address);
         let hedge = hedge(flight, &estimate);
@@ -321,12 +328,12 @@
             .state_mut(key)
             .expect("only known endpoints are ranked");
         let before = state.load();
-        state.own.add(load);
+        state.own_load.add(load);
         Order {
             attempt: Attempt {
                 key,
                 load,
-                expected: estimate.first,
+                expected: estimate.time_to_first,
                 sent: now,
             },
             address: state.info.address,
@@ -345,7 +352,7 @@
 /// Returns the time after which a repeatable request is better asked elsewhere.
 fn hedge(flight: &Flight, estimate: &Estimate) -> Option<Duration> {
     let target = flight.route.target;
-    let expected = estimate.first.mul_f64(HEDGE_FACTOR);
+    let expected = estimate.time_to_first.mul_f64(HEDGE_FACTOR);
     let (least, most) = (target.mul_f64(HEDGE_PARTS.0), target.mul_f64(HEDGE_PARTS.1));
     let may = flight.may_run_after(flight.runs + 1);
     may.then(|| expected.clamp(least, most))
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/upkeep.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/upkeep.rs
@@ -7,7 +7,7 @@
     dispatch::{
         Key, Prefix,
         due::{Due, Inquiry, Probe},
-        fleet::Heard,
+        fleet::Changes,
     },
     id::Time,
 };
@@ -25,7 +25,7 @@
     /// Does what time brings.
     pub fn tick(&mut self, now: Time) -> Due {
         let mut due = Due {
-            removed: self.registry.tick(now),
+            removed: self.registry.expire(now),
             ..Due::default()
         };
         for endpoint in &due.removed {
@@ -33,9 +33,9 @@
         }
         let (removed, silent) = self.fleet.expire(now);
         due.silent = silent;
-        let heard = Heard {
+        let heard = Changes {
             removed,
-            ..Heard::default()
+            ..Changes::default()
         };
         self.follow_loads(&heard);
         if self.fleet.is_due(now) {
@@ -70,7 +70,7 @@
                 let service = config.service(&state.info.service);
                 service.is_some_and(|service| service.model.is_some())
             })
-            .map(|(inquiry, state)| (state.info.place != self.options.place, *inquiry))
+            .map(|(inquiry, state)| (state.info.data_centre != self.options.place, *inquiry))
             .collect();
         due.sort_by_key(|(far, _)| *far);
         due.truncate(MOST_INQUIRIES);
@@ -95,7 +95,7 @@
     pub fn inventory(&mut self, key: Key, parts: &[Prefix], now: Time) {
         if self.find(key).is_ok() {
             for part in parts {
-                self.prefixes.note(*part, key, now);
+                self.prefixes.record_use(*part, key, now);
             }
         }
     }
@@ -106,20 +106,20 @@
             return;
         };
         if accepted {
-            if state.revive() {
+            if state.record_reachable() {
                 self.treat_as_cold(key, now);
             }
             self.suspects.retain(|suspect| suspect.key != key);
             return;
         }
-        state.fail(now);
-        self.prefixes.clear(key);
+        state.record_unreachable(now);
+        self.prefixes.remove_endpoint(key);
         let crashed = |suspect: &mut Suspect| suspect.key == key;
         let culprits: Vec<Suspect> = self.suspects.extract_if(.., crashed).collect();
         for suspect in culprits {
             if now.saturating_sub(suspect.at) < CRASH {
                 self.strikes.add(suspect.fingerprint, key, now);
-                self.fleet.touch();
+                self.fleet.mark_changed();
             }
         }
     }
@@ -136,7 +136,7 @@
         if let Some(service) = config.service(&state.info.service)
             && service.cold_rate > 0.0
         {
-            state.turn_cold(now + service.cold);
+            state.mark_cold(now + service.cold);
         }
     }
 
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
@@ -11,7 +11,7 @@
         attempt::{Delay, Obstacle, Placement},
         config::Service,
         flight::Flight,
-        placement::{Bar, Estimate},
+        placement::{Estimate, Exclusion},
         refusal::{Cause, Refusal},
     },
     id::Time,
@@ -65,7 +65,7 @@
             return None;
         }
         let running = self.state(key)?.load().running;
-        let expected = estimate.first;
+        let expected = estimate.time_to_first;
         let cause = if f64::from(running) > f64::from(model.slots) * BATCH_PART {
             Obstacle::Full
         } else if waited + expected > target && expected > target.mul_f64(SPARE_PART) {
@@ -103,10 +103,15 @@
     }
 
     /// Waits for an endpoint that may take a request, or refuses it after a while.
-    pub(super) fn hold(&mut self, flight: &mut Flight, bars: Vec<Bar>, now: Time) -> Placement {
+    pub(super) fn hold(
+        &mut self,
+        flight: &mut Flight,
+        bars: Vec<Exclusion>,
+        now: Time,
+    ) -> Placement {
         let target = flight.route.target.mul_f64(HOLD_PART).max(HOLD);
         let since = *flight.waiting.get_or_insert(now);
-        let hopeless = bars.iter().all(|bar| *bar == Bar::Region) && !bars.is_empty();
+        let hopeless = bars.iter().all(|bar| *bar == Exclusion::Region) && !bars.is_empty();
         if !hopeless && now.saturating_sub(since) < target.min(flight.left(now)) {
             return Placement::Wait(Delay::short(Obstacle::NoEndpoint));
         }
--- a/crates/peridotdeck-core/src/dispatch/endpoint.rs
+++ b/crates/peridotdeck-core/src/dispatch/endpoint.rs
@@ -6,19 +6,19 @@
 use crate::{id::Time, limit::Bucket};
 
 /// First rest after a failure to reach the endpoint; it doubles with each further failure.
-const REST: Duration = Duration::from_millis(200);
+const FIRST_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Longest rest.
-const MAX_REST: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Time in which the weight of an observed end falls to a half.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Weight of the newest answer in the pace.
-const NEWEST: f64 = 0.1;
+/// Weight of the newest answer in the slowdown.
+const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Bounds of the pace: one answer must not condemn or exalt an endpoint.
-const PACE: (f64, f64) = (0.5, 12.0);
+/// Bounds of the slowdown: one answer must not condemn or exalt an endpoint.
+const SLOWDOWN_RANGE: (f64, f64) = (0.5, 12.0);
 
 /// Unfinished work at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 
 impl Health {
     /// Counts an end; `weight` is how surprising it is.
-    pub fn note(&mut self, good: bool, weight: f64, now: Time) {
+    pub fn record(&mut self, good: bool, weight: f64, now: Time) {
         *self = self.decayed(now);
         if good {
             self.good += weight;
@@ -99,17 +99,17 @@
     /// Region of its data centre.
     pub region: String,
     /// Work that this node has sent it.
-    pub own: Load,
+    pub own_load: Load,
     /// Work that other nodes have sent it.
-    pub foreign: Load,
+    pub peer_load: Load,
     /// Ends that this node has seen.
     pub health: Health,
     /// Ends that other nodes have told.
-    pub told: Health,
-    pace: f64,
+    pub peer_health: Health,
+    slowdown: f64,
     cold_until: Time,
     cold_bucket: Bucket,
-    rest_until: Time,
+    backoff_until: Time,
     failures: u32,
     suspected: bool,
     probing: bool,
@@ -124,14 +124,14 @@
             key: info.key(),
             info,
             region,
-            own: Load::default(),
-            foreign: Load::default(),
+            own_load: Load::default(),
+            peer_load: Load::default(),
             health: Health::default(),
-            told: Health::default(),
-            pace: 1.0,
+            peer_health: Health::default(),
+            slowdown: 1.0,
             cold_until,
             cold_bucket: Bucket::full(1.0, now),
-            rest_until: Time::ZERO,
+            backoff_until: Time::ZERO,
             failures: 0,
             suspected: false,
             probing: false,
@@ -149,22 +149,22 @@
     /// Returns all work that is known.
     #[must_use]
     pub fn load(&self) -> Load {
-        let mut load = self.own;
-        load.add(self.foreign);
+        let mut load = self.own_load;
+        load.add(self.peer_load);
         load
     }
 
     /// Returns how much slower than expected the endpoint answers.
     #[must_use]
-    pub fn pace(&self) -> f64 {
-        self.pace
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
     /// Learns from the time to an answer.
-    pub fn learn(&mut self, expected: Duration, observed: Duration) {
+    pub fn record_answer_time(&mut self, expected: Duration, observed: Duration) {
         let ratio = observed.as_secs_f64() / expected.as_secs_f64().max(1e-3);
-        let ratio = ratio.clamp(PACE.0, PACE.1);
-        self.pace += NEWEST * (ratio - self.pace);
+        let ratio = ratio.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
+        self.slowdown += NEWEST_WEIGHT * (ratio - self.slowdown);
     }
 
     /// Returns whether the endpoint bears little now.
@@ -174,7 +174,7 @@
     }
 
     /// Notes that the endpoint bears little for a while.
-    pub fn turn_cold(&mut self, until: Time) {
+    pub fn mark_cold(&mut self, until: Time) {
         self.cold_until = self.cold_until.max(until);
     }
 
@@ -182,13 +182,13 @@
     ///
     /// # Errors
     /// The wait until the share allows one more.
-    pub fn take_cold(&mut self, rate: f64, now: Time) -> Result<(), Duration> {
+    pub fn admit_while_cold(&mut self, rate: f64, now: Time) -> Result<(), Duration> {
         self.cold_bucket.take(rate, 1.0, now)
     }
 
     /// Returns whether the endpoint rests after it could not be reached.
     #[must_use]
-    pub fn is_resting(&self) -> bool {
+    pub fn is_in_backoff(&self) -> bool {
         self.failures > 0
     }
 
@@ -201,8 +201,8 @@
     /// Returns when a probe should show whether the endpoint is there.
     #[must_use]
     pub fn probe_due(&self) -> Option<Time> {
-        let wanted = self.failures > 0 || self.suspected;
-        (wanted && !self.probing).then_some(self.rest_until)
+        let needed = self.failures > 0 || self.suspected;
+        (needed && !self.probing).then_some(self.backoff_until)
     }
 
     /// Starts a probe.
@@ -211,23 +211,23 @@
     }
 
     /// Notes that the endpoint could not be reached.
-    pub fn fail(&mut self, now: Time) {
+    pub fn record_unreachable(&mut self, now: Time) {
         self.probing = false;
-        let rest = REST * 2_u32.saturating_pow(self.failures.min(8));
+        let backoff = FIRST_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
-        self.rest_until = now + rest.min(MAX_REST);
+        self.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
     /// Asks for a probe at once: a connection ended without a word.
     pub fn suspect(&mut self, now: Time) {
         self.suspected = true;
         if self.failures == 0 {
-            self.rest_until = now;
+            self.backoff_until = now;
         }
     }
 
     /// Ends the rest, because a connection was accepted, and returns whether there was one.
-    pub fn revive(&mut self) -> bool {
+    pub fn record_reachable(&mut self) -> bool {
         self.probing = false;
         self.suspected = false;
         std::mem::take(&mut self.failures) > 0
@@ -237,9 +237,9 @@
     #[must_use]
     pub fn failure_rate(&self, now: Time) -> f64 {
         /// Good ends that are assumed at the beginning.
-        const TRUST: f64 = 1.5;
+        const ASSUMED_GOOD: f64 = 1.5;
         let (good, bad) = self.health.weights(now);
-        let (told_good, told_bad) = self.told.weights(now);
-        (bad + told_bad) / (good + told_good + bad + told_bad + TRUST)
+        let (peer_good, peer_bad) = self.peer_health.weights(now);
+        (bad + peer_bad) / (good + peer_good + bad + peer_bad + ASSUMED_GOOD)
     }
 }
--- a/crates/peridotdeck-core/src/dispatch/fleet.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet.rs
@@ -8,13 +8,13 @@
 //! Nodes find each other by the seeds of their settings and by the members that beats name. No node
 //! waits for another: one that knows nobody acts alone.
 
-mod hearing;
-mod telling;
+mod receive;
+mod send;
 
 use std::time::Duration;
 
 use peridotdeck_wire::beat;
-use telling::round_time;
+use send::round_time;
 
 use super::{Key, Node, Place, Prefix, endpoint::Load};
 use crate::{id::Time, rank};
@@ -92,7 +92,7 @@
 
 /// What a beat has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct Changes {
     /// Work that peers have at endpoints, as added and as taken away.
     pub added: Vec<(Key, Load)>,
     /// See `added`.
@@ -100,7 +100,7 @@
     /// Whether the peer came to life with this beat.
     pub joined: bool,
     /// Whether the sender wants an answer.
-    pub answer: bool,
+    pub reply_requested: bool,
 }
 
 /// All nodes, as this one knows them.
@@ -188,12 +188,12 @@
     }
 
     /// Notes that what this node says of itself has changed.
-    pub fn touch(&mut self) {
+    pub fn mark_changed(&mut self) {
         self.dirty = true;
     }
 
     /// Notes a prompt part that an endpoint has read, as this node or another data centre knows.
-    pub fn tell(&mut self, prefix: Prefix, endpoint: Key, own: bool, now: Time) {
+    pub fn announce_prefix(&mut self, prefix: Prefix, endpoint: Key, own: bool, now: Time) {
         self.news.push(News {
             prefix,
             endpoint,
@@ -205,7 +205,7 @@
 
     /// Returns the live nodes of a data centre, this one included, in order.
     #[must_use]
-    pub fn live(&self, place: Place, now: Time) -> Vec<Node> {
+    pub fn live_nodes(&self, place: Place, now: Time) -> Vec<Node> {
         let peers = self.peers.iter().filter(|peer| peer.place == Some(place));
         let mut nodes: Vec<Node> = peers
             .filter(|peer| self.is_live(peer, now))
@@ -223,8 +223,8 @@
     /// Returns whether this node is one of the first few for a key among the live nodes of its data
     /// centre.
     #[must_use]
-    pub fn is_among(&self, count: usize, key: Key, now: Time) -> bool {
-        let nodes = self.live(self.place, now);
+    pub fn is_among_first(&self, count: usize, key: Key, now: Time) -> bool {
+        let nodes = self.live_nodes(self.place, now);
         let numbers = nodes.iter().map(|&node| u32::from(node));
         let order = rank::order(u64::from(key), numbers);
         order
@@ -237,7 +237,7 @@
     /// without hearing it.
     #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
-        let here = self.live(self.place, now).len();
+        let here = self.live_nodes(self.place, now).len();
         let most = self.here.iter().map(|(_, size)| *size).max().unwrap_or(1);
         2 * here < most || now.saturating_sub(self.started) < ACQUAINTED
     }
@@ -246,7 +246,7 @@
     ///
     /// A node that has just started has heard of few and assumes two in each data centre.
     #[must_use]
-    pub fn size(&self, places: usize, now: Time) -> usize {
+    pub fn recent_size(&self, places: usize, now: Time) -> usize {
         let seen = self.sizes.iter().map(|(_, size)| *size).max().unwrap_or(1);
         if now.saturating_sub(self.started) < YOUNG {
             seen.max(2 * places)
@@ -265,7 +265,7 @@
 
     /// Returns the work that all other nodes together have at an endpoint.
     #[must_use]
-    pub fn load(&self, key: Key) -> Load {
+    pub fn load_at(&self, key: Key) -> Load {
         let local = self.peers.iter().map(|peer| &peer.loads);
         let tables = local.chain(self.remotes.iter().map(|remote| &remote.loads));
         let mut sum = Load::default();
@@ -343,7 +343,7 @@
         let seeds = &self.seeds;
         self.peers
             .retain(|peer| seeds.contains(&peer.node) || now.saturating_sub(peer.known) < FORGET);
-        let here = self.live(self.place, now).len();
+        let here = self.live_nodes(self.place, now).len();
         let far = round_time(here) * NEWS_ROUNDS;
         self.news.retain(|news| {
             let told = if news.own {
--- a/crates/peridotdeck-core/src/dispatch/fleet/hearing.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/receive.rs
@@ -4,7 +4,7 @@
 
 use peridotdeck_wire::beat;
 
-use super::{Fleet, Heard, Remote};
+use super::{Changes, Fleet, Remote};
 use crate::{
     dispatch::{Key, Node, Place, endpoint::Load},
     id::Time,
@@ -15,15 +15,15 @@
 
 impl Fleet {
     /// Takes in a beat.
-    pub fn hear(&mut self, beat: &beat::Beat, now: Time) -> Heard {
+    pub fn receive(&mut self, beat: &beat::Beat, now: Time) -> Changes {
         let node = Node::from(beat.node);
         let Some(at) = self.meet(node, Some(beat.place), now) else {
-            return Heard::default();
+            return Changes::default();
         };
         let peer = &mut self.peers[at];
         let restarted = peer.incarnation != beat.incarnation;
         if !restarted && beat.sequence <= peer.sequence {
-            return Heard::default();
+            return Changes::default();
         }
         let was_live = self.is_live(&self.peers[at], now);
         let peer = &mut self.peers[at];
@@ -32,10 +32,10 @@
         peer.heard = Some(now);
         peer.known = now;
         peer.leaving = beat.leaving;
-        let mut heard = Heard {
+        let mut heard = Changes {
             joined: !was_live && !beat.leaving,
-            answer: beat.joining,
-            ..Heard::default()
+            reply_requested: beat.joining,
+            ..Changes::default()
         };
         if restarted {
             heard.removed = std::mem::take(&mut self.peers[at].loads);
@@ -46,7 +46,7 @@
         heard
     }
 
-    fn hear_loads(&mut self, at: usize, beat: &beat::Beat, now: Time, heard: &mut Heard) {
+    fn hear_loads(&mut self, at: usize, beat: &beat::Beat, now: Time, heard: &mut Changes) {
         let told: Vec<(Key, Load)> = beat.loads.iter().map(load).collect();
         let loads = if beat.place == self.place {
             &mut self.peers[at].loads
@@ -92,7 +92,7 @@
     fn note_size(&mut self, now: Time) {
         let size = 1 + self.members(now).len();
         remember_most(&mut self.sizes, size, now);
-        let here = self.live(self.place, now).len();
+        let here = self.live_nodes(self.place, now).len();
         remember_most(&mut self.here, here, now);
     }
 }
--- a/crates/peridotdeck-core/src/dispatch/fleet/telling.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/send.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns the answer to a peer that joins.
-    pub fn answer(&mut self, node: Node, status: &Status, now: Time) -> beat::Beat {
+    pub fn reply(&mut self, node: Node, status: &Status, now: Time) -> beat::Beat {
         let near = self
             .find(node)
             .is_ok_and(|at| self.peers[at].place == Some(self.place));
@@ -75,7 +75,7 @@
 
     fn beat_locally(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
         self.dirty = false;
-        let nodes = self.live(self.place, now);
+        let nodes = self.live_nodes(self.place, now);
         self.local_due = now + BUSY * (nodes.len() as u32).max(1).div_ceil(BUSY_NODES);
         self.quiet_due = now + QUIET;
         let peers: Vec<Node> = nodes.into_iter().filter(|&node| node != self.me).collect();
@@ -86,7 +86,7 @@
     /// The n-th node of this data centre tells every n-th node of each other one, and the
     /// assignment shifts with each round. Data centres of the region are told in further rounds.
     fn beat_remotely(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
-        let here = self.live(self.place, now);
+        let here = self.live_nodes(self.place, now);
         let count = here.len().max(1);
         self.round_due = now + round_time(here.len()) / self.rounds() as u32;
         self.round += 1;
@@ -98,7 +98,7 @@
             let Some(turn) = self.turn(place) else {
                 continue;
             };
-            let there = self.live(place, now).into_iter();
+            let there = self.live_nodes(place, now).into_iter();
             peers.extend(there.skip((mine + turn) % count).step_by(count));
         }
         let parts = self.compose(status, false, false, now);
--- a/crates/peridotdeck-core/src/dispatch/placement.rs
+++ b/crates/peridotdeck-core/src/dispatch/placement.rs
@@ -109,7 +109,7 @@
 /// Why an endpoint cannot take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Bar {
+pub enum Exclusion {
     /// It belongs to another service.
     Service,
     /// A region that may not serve the request.
@@ -134,27 +134,27 @@
     /// Score in milliseconds; lower is better.
     pub score: f64,
     /// Expected time to the answer or to the first event.
-    pub first: Duration,
+    pub time_to_first: Duration,
     /// Prompt tokens that it has read already.
     pub cached: u32,
     /// Prompt tokens that it will read.
     pub unread: u32,
     /// Prompt tokens that some endpoint has read already.
-    pub known: u32,
+    pub cached_anywhere: u32,
     /// Where it should fetch the beginning of the prompt from.
     pub source: Option<Key>,
 }
 
 /// Tokens of a prompt's beginning that an endpoint holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct CachedTokens {
     /// Tokens that have been sent to it, so that it has read them when its turn comes.
     pub sent: u32,
     /// Tokens that it has surely read, so that another endpoint can fetch them.
     pub read: u32,
 }
 
-impl Held {
+impl CachedTokens {
     /// Returns the larger part of either.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
@@ -171,25 +171,25 @@
     /// All endpoints, sorted by key.
     pub states: &'a [State],
     /// What each of the endpoints holds of the prompt's beginning.
-    pub held: &'a [Held],
+    pub cached: &'a [CachedTokens],
     /// The most that any of them holds.
-    pub most: Held,
+    pub most_cached: CachedTokens,
     /// Tokens of the prompt's beginning that some endpoint has used lately.
     pub recent: u32,
     /// Shortest pause that is allowed to streams which are late beside long prompts, if any are.
-    pub gap: Option<Duration>,
+    pub max_token_gap: Option<Duration>,
     /// Whether the request is such a stream.
-    pub sensitive: bool,
+    pub gap_sensitive: bool,
     /// The node's own data centre.
-    pub place: &'a str,
+    pub data_centre: &'a str,
     /// The node's own region.
     pub region: &'a str,
     /// Mean time of the service's answers in milliseconds, for services without a model.
     pub plain_ms: f64,
     /// Mean time of the service's whole answers in milliseconds.
-    pub whole_ms: f64,
+    pub whole_answer_ms: f64,
     /// Median pace of the service's endpoints.
-    pub usual_pace: f64,
+    pub median_slowdown: f64,
     /// The time.
     pub now: Time,
 }
@@ -228,14 +228,14 @@
     /// Adds what holds for every kind of endpoint to a score.
     fn weigh(&self, mut estimate: Estimate, state: &State, flight: &Flight) -> Estimate {
         let target = flight.route.target.as_secs_f64() * 1e3;
-        let first = estimate.first.as_secs_f64() * 1e3;
+        let first = estimate.time_to_first.as_secs_f64() * 1e3;
         let part = first / target.max(1.0);
         estimate.score += WAIT_SCORE * part + LATE_SCORE * (part - SAFE_PART).max(0.0);
         let failing = (state.failure_rate(self.now) - CHANCE).max(0.0);
         estimate.score += failing * FAILURE_TARGETS * target;
         if state.region != self.region {
             estimate.score += REGION_SCORE;
-        } else if state.info.place != self.place {
+        } else if state.info.data_centre != self.data_centre {
             estimate.score += PLACE_SCORE;
         }
         if state.is_suspected() {
@@ -245,11 +245,11 @@
     }
 
     /// Returns how much slower an endpoint is than its peers; a slow day slows them all.
-    fn pace(&self, state: &State) -> f64 {
+    fn slowdown(&self, state: &State) -> f64 {
         /// Differences within this factor are noise.
         const NOISE: f64 = 1.5;
-        let pace = state.pace() / self.usual_pace.max(0.1);
-        self.usual_pace.clamp(0.5, 3.0) * if pace > NOISE { pace } else { 1.0 }
+        let pace = state.slowdown() / self.median_slowdown.max(0.1);
+        self.median_slowdown.clamp(0.5, 3.0) * if pace > NOISE { pace } else { 1.0 }
     }
 
     fn path_ms(&self, state: &State) -> f64 {
@@ -264,15 +264,15 @@
         let load = state.load();
         let slots = f64::from(state.info.slots.max(1));
         let rounds = (f64::from(load.running + 1) / slots).max(1.0);
-        let first = self.path_ms(state) + self.plain_ms * rounds * self.pace(state);
+        let first = self.path_ms(state) + self.plain_ms * rounds * self.slowdown(state);
         // Spreads requests over equal endpoints before their queues grow.
         let score = self.plain_ms * f64::from(load.running) / slots;
         Estimate {
             score,
-            first: Duration::from_secs_f64(first / 1e3),
+            time_to_first: Duration::from_secs_f64(first / 1e3),
             cached: 0,
             unread: 0,
-            known: 0,
+            cached_anywhere: 0,
             source: None,
         }
     }
@@ -284,7 +284,7 @@
         model: &Model,
         source: Option<(Key, u32)>,
     ) -> Estimate {
-        let cached = self.held(state.key);
+        let cached = self.cached_tokens(state.key);
         let (known, fetch_ms) = match source {
             Some((at, tokens)) => (tokens, self.fetch_ms(state, at, tokens - cached, model)),
             None => (cached, 0.0),
@@ -300,9 +300,9 @@
         };
         let reading = f64::from(unread) / READ_PER_MS;
         let beyond = f64::from((load.running + 1).saturating_sub(model.slots));
-        let queueing = self.whole_ms * beyond / f64::from(model.slots.max(1));
+        let queueing = self.whole_answer_ms * beyond / f64::from(model.slots.max(1));
         let first = FIRST_MS + queueing + ahead / READ_PER_MS + reading;
-        let first = self.path_ms(state) + fetch_ms + first * self.pace(state);
+        let first = self.path_ms(state) + fetch_ms + first * self.slowdown(state);
         let mut score =
             reading + DISTURBANCE * reading * f64::from(load.urgent.min(MOST_DISTURBED));
         score += (SLOWDOWN * reading + COMPANY_SCORE) * f64::from(load.running);
@@ -310,26 +310,26 @@
         score += self.interference(state, load, reading);
         Estimate {
             score,
-            first: Duration::from_secs_f64(first / 1e3),
+            time_to_first: Duration::from_secs_f64(first / 1e3),
             cached,
             unread,
-            known: self.most.sent,
+            cached_anywhere: self.most_cached.sent,
             source: source.map(|(at, _)| at),
         }
     }
 
     /// What long reading costs streams that are late beside it: those that run, or the request itself.
     fn interference(&self, state: &State, load: Load, reading: f64) -> f64 {
-        let Some(gap) = self.gap else {
+        let Some(gap) = self.max_token_gap else {
             return 0.0;
         };
         let room = gap.as_secs_f64() * 1e3 * READING_PART;
         let noticed = |reading: f64| {
-            let part = reading * self.pace(state) / room;
+            let part = reading * self.slowdown(state) / room;
             ((part - UNNOTICED_PART) / (1.0 - UNNOTICED_PART)).clamp(0.0, 1.0)
         };
         let before = f64::from(load.unread) / READ_PER_MS;
-        if self.sensitive {
+        if self.gap_sensitive {
             return NOISE_SCORE * noticed(before) + MEETING_SCORE * fraction(state.key);
         }
         let streams = f64::from(load.urgent.min(MOST_INTRUDED));
@@ -343,25 +343,25 @@
     }
 
     /// Returns the tokens of the prompt's beginning that an endpoint holds.
-    fn held(&self, key: Key) -> u32 {
+    fn cached_tokens(&self, key: Key) -> u32 {
         let at = self.states.binary_search_by_key(&key, |each| each.key);
         at.ok()
-            .and_then(|at| self.held.get(at))
+            .and_then(|at| self.cached.get(at))
             .map_or(0, |held| held.sent)
     }
 
     /// Returns the nearest endpoint that holds the most of the prompt, and how much it holds.
     fn source(&self, state: &State, flight: &Flight, cached: u32) -> Option<(Key, u32)> {
-        if self.most.read < cached + FETCH_TOKENS {
+        if self.most_cached.read < cached + FETCH_TOKENS {
             return None;
         }
-        let others = self.states.iter().zip(self.held);
+        let others = self.states.iter().zip(self.cached);
         others
             .filter(|(other, held)| {
                 held.read >= cached + FETCH_TOKENS && Self::may_fetch(state, other, flight)
             })
             .max_by_key(|(other, held)| {
-                let near = other.info.place == state.info.place;
+                let near = other.info.data_centre == state.info.data_centre;
                 (held.read, near, Reverse(other.load().unread), other.key)
             })
             .map(|(other, held)| (other.key, held.read))
@@ -370,7 +370,7 @@
     fn may_fetch(state: &State, other: &State, flight: &Flight) -> bool {
         let same_service = other.info.service == state.info.service;
         same_service
-            && !other.is_resting()
+            && !other.is_in_backoff()
             && !other.is_suspected()
             && flight.may_run_in(&other.region)
     }
@@ -381,7 +381,7 @@
         };
         let bits = f64::from(tokens) * model.token_bytes * 8.0;
         let transfer = bits / (model.link_mbps.max(1.0) * 1e3);
-        if other.info.place == state.info.place {
+        if other.info.data_centre == state.info.data_centre {
             FETCH_MS + transfer
         } else {
             FETCH_MS + 2.0 * transfer + FAR_MS
--- a/crates/peridotdeck-core/src/dispatch/prefix.rs
+++ b/crates/peridotdeck-core/src/dispatch/prefix.rs
@@ -11,13 +11,13 @@
 use crate::id::Time;
 
 /// Time after which a prefix that nobody used counts as displaced.
-const AGE: Duration = Duration::from_secs(90);
+const MAX_IDLE: Duration = Duration::from_secs(90);
 
 /// Time between two news of uses of the same part at the same endpoint.
 pub const REFRESH: Duration = Duration::from_secs(3);
 
 /// Time from a send until an endpoint has surely read the part, and another can fetch it.
-const READING: Duration = Duration::from_millis(300);
+const READ_DELAY: Duration = Duration::from_millis(300);
 
 /// Entries that are remembered at most; the oldest tenth gives way.
 const CAPACITY: usize = 16_384;
@@ -34,7 +34,7 @@
     /// When it was last used.
     pub used: Time,
     /// When peers were last told of its use.
-    pub told: Option<Time>,
+    pub announced: Option<Time>,
 }
 
 /// All holdings that are known, sorted by prefix and endpoint.
@@ -45,34 +45,34 @@
 
 impl Index {
     /// Notes a use.
-    pub fn note(&mut self, prefix: Prefix, endpoint: Key, now: Time) {
+    pub fn record_use(&mut self, prefix: Prefix, endpoint: Key, now: Time) {
         match self.find(prefix, endpoint) {
-            Ok(at) => self.holdings[at].used = now,
-            Err(at) => {
+            Ok(index) => self.holdings[index].used = now,
+            Err(index) => {
                 let holding = Holding {
                     prefix,
                     endpoint,
                     since: now,
                     used: now,
-                    told: None,
+                    announced: None,
                 };
-                self.holdings.insert(at, holding);
+                self.holdings.insert(index, holding);
                 self.bound();
             }
         }
     }
 
     /// Returns whether peers should hear of a use, and notes that they do.
-    pub fn is_news(&mut self, prefix: Prefix, endpoint: Key, now: Time) -> bool {
-        let Ok(at) = self.find(prefix, endpoint) else {
+    pub fn mark_announced_if_due(&mut self, prefix: Prefix, endpoint: Key, now: Time) -> bool {
+        let Ok(index) = self.find(prefix, endpoint) else {
             return false;
         };
-        let holding = &mut self.holdings[at];
+        let holding = &mut self.holdings[index];
         let due = holding
-            .told
-            .is_none_or(|told| now.saturating_sub(told) >= REFRESH);
+            .announced
+            .is_none_or(|announced| now.saturating_sub(announced) >= REFRESH);
         if due {
-            holding.told = Some(now);
+            holding.announced = Some(now);
         }
         due
     }
@@ -80,42 +80,44 @@
     /// Returns how long ago a prefix was first sent to an endpoint, if it was.
     #[must_use]
     pub fn age(&self, prefix: Prefix, endpoint: Key, now: Time) -> Option<Duration> {
-        let at = self.find(prefix, endpoint).ok()?;
-        Some(now.saturating_sub(self.holdings[at].since))
+        let index = self.find(prefix, endpoint).ok()?;
+        Some(now.saturating_sub(self.holdings[index].since))
     }
 
     /// Forgets one holding, which has proven wrong.
-    pub fn forget(&mut self, prefix: Prefix, endpoint: Key) {
-        if let Ok(at) = self.find(prefix, endpoint) {
-            self.holdings.remove(at);
+    pub fn remove(&mut self, prefix: Prefix, endpoint: Key) {
+        if let Ok(index) = self.find(prefix, endpoint) {
+            self.holdings.remove(index);
         }
     }
 
     /// Forgets everything about an endpoint that has lost its memory.
-    pub fn clear(&mut self, endpoint: Key) {
-        self.holdings.retain(|each| each.endpoint != endpoint);
+    pub fn remove_endpoint(&mut self, endpoint: Key) {
+        self.holdings.retain(|holding| holding.endpoint != endpoint);
     }
 
     /// Forgets what has not been used for long.
     pub fn expire(&mut self, now: Time) {
         self.holdings
-            .retain(|each| now.saturating_sub(each.used) < AGE);
+            .retain(|holding| now.saturating_sub(holding.used) < MAX_IDLE);
     }
 
     /// Returns when a prefix was last used at any endpoint.
     #[must_use]
     pub fn last_use(&self, prefix: Prefix) -> Option<Time> {
-        let begin = self.holdings.partition_point(|each| each.prefix < prefix);
+        let begin = self
+            .holdings
+            .partition_point(|holding| holding.prefix < prefix);
         let holders = self.holdings[begin..]
             .iter()
-            .take_while(|each| each.prefix == prefix);
-        holders.map(|each| each.used).max()
+            .take_while(|holding| holding.prefix == prefix);
+        holders.map(|holding| holding.used).max()
     }
 
     /// Returns whether a part that was sent this long ago can be fetched.
     #[must_use]
     pub fn is_read(age: Duration) -> bool {
-        age >= READING
+        age >= READ_DELAY
     }
 
     /// Returns the number of holdings.
@@ -132,15 +134,17 @@
 
     fn find(&self, prefix: Prefix, endpoint: Key) -> Result<usize, usize> {
         self.holdings
-            .binary_search_by_key(&(prefix, endpoint), |each| (each.prefix, each.endpoint))
+            .binary_search_by_key(&(prefix, endpoint), |holding| {
+                (holding.prefix, holding.endpoint)
+            })
     }
 
     fn bound(&mut self) {
         if self.holdings.len() > CAPACITY {
-            let mut ages: Vec<Time> = self.holdings.iter().map(|each| each.used).collect();
+            let mut ages: Vec<Time> = self.holdings.iter().map(|holding| holding.used).collect();
             let (_, oldest, _) = ages.select_nth_unstable(CAPACITY / 10);
             let oldest = *oldest;
-            self.holdings.retain(|each| each.used > oldest);
+            self.holdings.retain(|holding| holding.used > oldest);
         }
     }
 }
--- a/crates/peridotdeck-core/src/dispatch/registry.rs
+++ b/crates/peridotdeck-core/src/dispatch/registry.rs
@@ -85,7 +85,7 @@
     }
 
     /// Notes that the publisher cannot be reached, or has failed.
-    pub fn note_trouble(&mut self, now: Time) {
+    pub fn note_publisher_failure(&mut self, now: Time) {
         self.trouble = Some(now);
     }
 
@@ -333,7 +333,7 @@
     }
 
     /// Removes entries whose time to come back is over.
-    pub fn tick(&mut self, now: Time) -> Vec<Endpoint> {
+    pub fn expire(&mut self, now: Time) -> Vec<Endpoint> {
         let due: Vec<(String, Time)> = self
             .lapsing
             .extract_if(.., |(_, until)| *until <= now)
--- a/crates/peridotdeck-core/src/dispatch/registry/endpoint.rs
+++ b/crates/peridotdeck-core/src/dispatch/registry/endpoint.rs
@@ -18,7 +18,8 @@
     /// Where it listens.
     pub address: SocketAddrV4,
     /// Its data centre.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub data_centre: String,
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it is about to leave.
--- a/crates/peridotdeck-core/tests/testsuite/dispatch.rs
+++ b/crates/peridotdeck-core/tests/testsuite/dispatch.rs
@@ -123,7 +123,7 @@
         born: 1,
         service: service.to_owned(),
         address: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, last), 80),
-        place: place.to_owned(),
+        data_centre: place.to_owned(),
         slots: 6,
         draining: false,
         cold: Duration::ZERO,
--- a/crates/peridotdeck-core/tests/testsuite/fleet_beats.rs
+++ b/crates/peridotdeck-core/tests/testsuite/fleet_beats.rs
@@ -95,10 +95,13 @@
     fleet.cut = vec![node(4)];
     fleet.run(1_000, 5_000);
     let here = place(REGIONS[0].0);
-    assert_eq!(fleet.nodes[0].1.fleet().live(here, ms(5_000)), [node(1)]);
+    assert_eq!(
+        fleet.nodes[0].1.fleet().live_nodes(here, ms(5_000)),
+        [node(1)]
+    );
     fleet.cut.clear();
     fleet.run(5_000, 9_000);
-    let live = fleet.nodes[0].1.fleet().live(here, ms(9_000));
+    let live = fleet.nodes[0].1.fleet().live_nodes(here, ms(9_000));
     assert_eq!(live, [node(1), node(4)]);
 }
 
@@ -109,7 +112,10 @@
     fleet.nodes[3].1.leave();
     fleet.run(1_000, 1_050);
     let here = place(REGIONS[0].0);
-    assert_eq!(fleet.nodes[0].1.fleet().live(here, ms(1_050)), [node(1)]);
+    assert_eq!(
+        fleet.nodes[0].1.fleet().live_nodes(here, ms(1_050)),
+        [node(1)]
+    );
 }
 
 #[test]
@@ -168,7 +174,7 @@
         send(&mut fleet.nodes[0].1, subject, ms(1_000));
     }
     let states = fleet.nodes[0].1.states().iter();
-    let busy = states.filter(|state| state.own.running > 0).count();
+    let busy = states.filter(|state| state.own_load.running > 0).count();
     assert!(busy > 80, "{busy} endpoints have work");
     fleet.run(1_000, 2_200);
     for (node, each) in &fleet.nodes {
@@ -219,7 +225,7 @@
         let foreign: u32 = each
             .states()
             .iter()
-            .map(|state| state.foreign.running)
+            .map(|state| state.peer_load.running)
             .sum();
         assert_eq!(foreign, 0, "at {node}");
     }
--- a/crates/peridotdeck-core/tests/testsuite/random_dispatch.rs
+++ b/crates/peridotdeck-core/tests/testsuite/random_dispatch.rs
@@ -169,7 +169,12 @@
                 let listed = registry.endpoints().iter().find(|each| each.key() == key);
                 let listed = listed.expect("only listed endpoints are used");
                 assert!(!listed.draining, "{} is leaving", listed.id);
-                assert!(registry.closed().binary_search(&listed.place).is_err());
+                assert!(
+                    registry
+                        .closed()
+                        .binary_search(&listed.data_centre)
+                        .is_err()
+                );
                 if listed.cold > Duration::ZERO
                     && self
                         .cold_until
@@ -302,7 +307,7 @@
             let own: u32 = dispatcher
                 .states()
                 .iter()
-                .map(|state| state.own.running)
+                .map(|state| state.own_load.running)
                 .sum();
             let open = self.open.iter().filter(|open| open.node == at).count();
             assert!(own as usize <= open, "node {at} counts {own} of {open}");
--- a/crates/peridotdeck-core/tests/testsuite/roster_lapse.rs
+++ b/crates/peridotdeck-core/tests/testsuite/roster_lapse.rs
@@ -60,15 +60,15 @@
     let mut registry = Registry::default();
     let listed = vec![Fact::Endpoint(endpoint("e", "text", "muenchen"))];
     roster(&mut registry, 1, listed.clone(), ms(0));
-    registry.note_trouble(ms(5_000));
+    registry.note_publisher_failure(ms(5_000));
     roster(&mut registry, 2, Vec::new(), ms(6_000));
     assert_eq!(registry.endpoints().len(), 1, "kept while it may come back");
-    assert!(registry.tick(ms(7_500)).is_empty());
+    assert!(registry.expire(ms(7_500)).is_empty());
     roster(&mut registry, 3, listed, ms(7_550));
-    assert!(registry.tick(ms(9_000)).is_empty(), "it came back");
-    registry.note_trouble(ms(9_500));
+    assert!(registry.expire(ms(9_000)).is_empty(), "it came back");
+    registry.note_publisher_failure(ms(9_500));
     roster(&mut registry, 4, Vec::new(), ms(10_000));
-    assert_eq!(registry.tick(ms(12_200)).len(), 1, "it did not come back");
+    assert_eq!(registry.expire(ms(12_200)).len(), 1, "it did not come back");
 }
 
 #[test]
@@ -77,12 +77,12 @@
     let listed = vec![Fact::Endpoint(endpoint("e", "text", "muenchen"))];
     roster(&mut watcher, 1, listed, ms(0));
     follower.adopt(watcher.snapshot(Area::Roster, 0, ms(10)), ms(10));
-    watcher.note_trouble(ms(5_000));
+    watcher.note_publisher_failure(ms(5_000));
     roster(&mut watcher, 2, Vec::new(), ms(6_000));
     let change = follower.adopt(watcher.snapshot(Area::Roster, 1, ms(6_050)), ms(6_050));
     assert!(change.removed.is_empty(), "it may come back");
-    assert!(follower.tick(ms(7_500)).is_empty());
-    assert_eq!(follower.tick(ms(7_700)).len(), 1, "it did not come back");
+    assert!(follower.expire(ms(7_500)).is_empty());
+    assert_eq!(follower.expire(ms(7_700)).len(), 1, "it did not come back");
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let mut registry = Registry::default();
     let listed = vec![Fact::Endpoint(endpoint("e", "text", "muenchen"))];
     roster(&mut registry, 1, listed, ms(0));
-    registry.note_trouble(ms(5_000));
+    registry.note_publisher_failure(ms(5_000));
     let gone = report(Area::Roster, 2, false, vec![Fact::Gone("e".into())]);
     let change = registry.apply(gone, ms(9_800));
     assert_eq!(change.removed.len(), 1);
@@ -102,7 +102,7 @@
     let mut leaving = endpoint("e", "text", "muenchen");
     leaving.draining = true;
     roster(&mut registry, 1, vec![Fact::Endpoint(leaving)], ms(0));
-    registry.note_trouble(ms(1_000));
+    registry.note_publisher_failure(ms(1_000));
     roster(&mut registry, 2, Vec::new(), ms(1_500));
     assert!(registry.endpoints().is_empty());
 }
@@ -216,18 +216,18 @@
         let listed = vec![Fact::Endpoint(endpoint("e", "text", "muenchen"))];
         roster(&mut watcher, 1, listed.clone(), ms(0));
         follower.adopt(watcher.snapshot(Area::Roster, 0, ms(5)), ms(5));
-        watcher.note_trouble(ms(5_000));
+        watcher.note_publisher_failure(ms(5_000));
         roster(&mut watcher, 2, Vec::new(), ms(5_500));
         if comes_back {
             follower.adopt(watcher.snapshot(Area::Roster, 1, ms(5_600)), ms(5_600));
             let known = follower.revision(Area::Roster).changed;
             watcher.apply(report(Area::Roster, 4, false, listed), ms(6_000));
             follower.adopt(watcher.snapshot(Area::Roster, known, ms(6_100)), ms(6_100));
-            follower.tick(ms(9_000));
+            follower.expire(ms(9_000));
             assert_eq!(ids(&follower), ["e"]);
         } else {
             // The follower hears of it only after the watcher has given the entry up.
-            watcher.tick(ms(7_700));
+            watcher.expire(ms(7_700));
             watcher.apply(report(Area::Roster, 3, false, Vec::new()), ms(7_800));
             follower.adopt(watcher.snapshot(Area::Roster, 1, ms(7_900)), ms(7_900));
             assert!(ids(&follower).is_empty());
@@ -243,7 +243,7 @@
     for registry in [&mut doubting, &mut certain, &mut follower] {
         roster(registry, 3, listed.clone(), ms(0));
     }
-    doubting.note_trouble(ms(4_800));
+    doubting.note_publisher_failure(ms(4_800));
     for registry in [&mut doubting, &mut certain] {
         let gone = report(Area::Roster, 5, false, vec![Fact::Gone("e".into())]);
         registry.apply(gone, ms(5_000));
@@ -253,7 +253,7 @@
     certain.apply(report(Area::Roster, 6, false, other), ms(5_100));
     let known = follower.revision(Area::Roster).changed;
     follower.adopt(certain.snapshot(Area::Roster, known, ms(5_150)), ms(5_150));
-    follower.tick(ms(7_500));
+    follower.expire(ms(7_500));
     assert_eq!(
         ids(&follower),
         ["f"],
@@ -267,7 +267,7 @@
     let listed = vec![Fact::Endpoint(endpoint("f", "text", "muenchen"))];
     roster(&mut registry, 3, listed, ms(0));
     // The node was turned away meanwhile, and heard of the departure from a peer.
-    registry.note_trouble(ms(8_000));
+    registry.note_publisher_failure(ms(8_000));
     let came = Fact::Endpoint(endpoint("e", "text", "muenchen"));
     let late = vec![came, Fact::Gone("e".into())];
     let change = registry.apply(report(Area::Roster, 9, false, late), ms(8_200));
--- a/crates/peridotdeck-relay/src/control.rs
+++ b/crates/peridotdeck-relay/src/control.rs
@@ -118,7 +118,7 @@
                 format_args!(
                     "endpoint={endpoint} score={:.0} first_ms={} unread={}",
                     estimate.score,
-                    estimate.first.as_millis(),
+                    estimate.time_to_first.as_millis(),
                     estimate.unread
                 ),
             ),
@@ -153,15 +153,15 @@
                 state.info.id,
                 state.key,
                 state.info.service,
-                state.info.place,
+                state.info.data_centre,
                 state.info.draining,
                 state.is_cold(now),
-                state.is_resting(),
+                state.is_in_backoff(),
                 state.is_suspected(),
-                state.own.running,
+                state.own_load.running,
                 load.running,
                 load.unread,
-                state.pace(),
+                state.slowdown(),
                 state.failure_rate(now),
             ),
         );
--- a/crates/peridotdeck-relay/src/journey/account.rs
+++ b/crates/peridotdeck-relay/src/journey/account.rs
@@ -2,7 +2,7 @@
 
 use peridotdeck_core::dispatch::{
     attempt::{Delay, Order},
-    placement::Bar,
+    placement::Exclusion,
     refusal::Refusal,
     registry::Area,
 };
@@ -64,14 +64,14 @@
             self.attempts,
             order.rank,
             estimate.score,
-            estimate.first.as_millis(),
+            estimate.time_to_first.as_millis(),
             self.flight.prompt.tokens,
             self.flight
                 .prompt
                 .shared
                 .last()
                 .map_or(0, |part| part.tokens),
-            estimate.known,
+            estimate.cached_anywhere,
             estimate.cached,
             estimate.unread,
             order.source.is_some(),
@@ -103,7 +103,7 @@
     }
 
     /// Logs why no endpoint could take the request: how many were barred by what.
-    pub(super) fn log_unplaced(&self, bars: &[Bar]) {
+    pub(super) fn log_unplaced(&self, bars: &[Exclusion]) {
         let mut bars = bars.to_vec();
         bars.sort_unstable();
         let counts: Vec<String> = bars
--- a/crates/peridotdeck-relay/src/shared.rs
+++ b/crates/peridotdeck-relay/src/shared.rs
@@ -97,7 +97,7 @@
         born,
         service,
         address,
-        place,
+        data_centre,
         draining,
         cold,
         ..
@@ -105,7 +105,7 @@
     let address: SocketAddrV4 = *address;
     log::info!(
         "event={event} endpoint={id} born={born} key={:08x} service={service} address={address} \
-         place={place} draining={draining} cold_ms={} source={source}",
+         place={data_centre} draining={draining} cold_ms={} source={source}",
         endpoint.key(),
         cold.as_millis()
     );
