--- a/crates/peridotdeck-core/src/dispatch/fleet.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet.rs
@@ -1,12 +1,13 @@
-//! Which peers are alive, what they have sent where, and what to tell them.
+//! Membership of the fleet and the heartbeats between its nodes.
 //!
-//! A node tells every live peer of its own data centre what it has at each endpoint, soon after it
-//! changes. For each other data centre the nodes take turns: every node there hears from one node
-//! here in each round, which tells the sum for the whole data centre. So a node's traffic grows with
-//! its data centre and with the number of data centres, not with the fleet.
+//! A node announces its load at each endpoint to every live peer of its own data centre, soon after
+//! the load changes. For each other data centre the nodes take turns: in each round, every node
+//! there receives a heartbeat from one node here, which reports the sum for the whole data centre.
+//! So a node's traffic grows with the size of its data centre and with the number of data centres,
+//! not with the size of the fleet.
 //!
-//! Nodes find each other by the seeds of their settings and by the members that beats name. No node
-//! waits for another: one that knows nobody acts alone.
+//! Nodes discover each other by the seeds in their settings and by the members that heartbeats
+//! list. No node waits for another: a node without known peers acts alone.
 
 mod receive;
 mod send;
@@ -19,96 +20,99 @@
 use super::{Key, Node, Place, Prefix, endpoint::Load};
 use crate::{id::Time, rank};
 
-/// Silence after which a peer of the own data centre counts as dead.
-const DEAD: Duration = Duration::from_millis(1_500);
+/// Time without a heartbeat after which a peer in the same data centre counts as dead.
+const LOCAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Silence after which what another data centre told is no longer believed.
-const APART: Duration = Duration::from_secs(3);
+/// Time without a heartbeat after which the reported load of another data centre is dropped.
+///
+/// Peers in other data centres count as dead after the same time.
+const REMOTE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for which a node seeks often.
-const YOUNG: Duration = Duration::from_secs(5);
+/// Time after its start during which a node probes for peers at the shorter interval.
+const STARTUP: Duration = Duration::from_secs(5);
 
-/// Silence after which a member that cannot be reached is forgotten.
-const FORGET: Duration = Duration::from_secs(60);
+/// Time without a sign of life after which a peer that is no seed is removed.
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// Time in which a node that starts hears the peers of its data centre.
-const ACQUAINTED: Duration = Duration::from_millis(600);
+/// Time that a starting node needs to hear from the peers of its data centre.
+const DISCOVERY: Duration = Duration::from_millis(600);
 
-/// Rounds in which news are told to other data centres, because some beats are lost.
-const NEWS_ROUNDS: u32 = 2;
+/// Rounds in which an announcement is repeated to other data centres, as heartbeats may be lost.
+const ANNOUNCE_ROUNDS: u32 = 2;
 
-/// Time for which news are told in the own data centre, for the same reason.
-const NEWS_NEAR: Duration = Duration::from_millis(120);
+/// Time for which an announcement is repeated in the same data centre, as heartbeats may be lost.
+const LOCAL_ANNOUNCE: Duration = Duration::from_millis(120);
 
-/// A peer.
+/// Another node, as known from its heartbeats, from other members or from the seeds.
 #[derive(Clone, Debug)]
 struct Peer {
     node: Node,
-    place: Option<Place>,
+    data_centre: Option<Place>,
     incarnation: u64,
     sequence: u64,
-    heard: Option<Time>,
-    known: Time,
-    told: Option<Time>,
+    received: Option<Time>,
+    last_known: Time,
+    probed: Option<Time>,
     leaving: bool,
     loads: Vec<(Key, Load)>,
 }
 
-/// What another data centre told of its nodes together.
+/// Load that the nodes of another data centre reported together.
 #[derive(Clone, Debug)]
 struct Remote {
-    place: Place,
-    heard: Time,
+    data_centre: Place,
+    received: Time,
     loads: Vec<(Key, Load)>,
 }
 
-/// A prompt part that an endpoint has read, to be told to peers.
+/// A cached prefix of an endpoint, to be announced to peers.
 ///
-/// Who sent it there tells the own data centre and one node in each other one; that node tells its
-/// peers.
+/// The node that sent the prompt announces it in its own data centre and to one node in each other
+/// data centre. That node announces it to its peers.
 #[derive(Clone, Copy, Debug)]
-struct News {
+struct Announcement {
     prefix: Prefix,
     endpoint: Key,
-    learnt: Time,
-    /// Whether this node sent it there, rather than heard of it from another data centre.
+    added: Time,
+    /// Whether this node sent the prompt, rather than received the announcement from another data
+    /// centre.
     own: bool,
 }
 
-/// What this node says of itself in a beat.
+/// State that a node reports in its heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// Revision of the configuration.
+    /// Revision of the last change of the configuration.
     pub policy: u64,
-    /// Revision of the endpoint list.
+    /// Revision of the last change of the endpoint list.
     pub roster: u64,
-    /// Own work at each endpoint that has any.
+    /// This node's load at each endpoint where it has any, sorted by key.
     pub loads: Vec<(Key, Load)>,
-    /// Own view of the endpoints' health.
+    /// Health of endpoints as this node has observed it.
     pub health: Vec<beat::Health>,
-    /// Crashes that peers may not have heard of.
+    /// Crashes attributed to requests that peers may not know of yet.
     pub strikes: Vec<beat::Strike>,
 }
 
-/// What a beat has changed.
+/// Changes that a received heartbeat leads to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Work that peers have at endpoints, as added and as taken away.
+    /// Load of peers at endpoints that is to be added.
     pub added: Vec<(Key, Load)>,
-    /// See `added`.
+    /// Load of peers at endpoints that is to be subtracted.
     pub removed: Vec<(Key, Load)>,
-    /// Whether the peer came to life with this beat.
+    /// Whether the peer was not live before this heartbeat.
     pub joined: bool,
-    /// Whether the sender wants an answer.
+    /// Whether the sender requests a heartbeat in reply.
     pub reply_requested: bool,
 }
 
-/// All nodes, as this one knows them.
+/// The nodes of the fleet, as this node knows them.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     me: Node,
-    place: Place,
-    /// Other data centres of the region, which share its endpoints more than others do.
+    data_centre: Place,
+    /// Other data centres of the region, whose nodes use the same endpoints more than others do.
     siblings: Vec<Place>,
     incarnation: u64,
     started: Time,
@@ -117,22 +121,22 @@
     seeds: Vec<Node>,
     peers: Vec<Peer>,
     remotes: Vec<Remote>,
-    news: Vec<News>,
+    announcements: Vec<Announcement>,
     dirty: bool,
     local_due: Time,
-    quiet_due: Time,
-    round_due: Time,
+    keepalive_due: Time,
+    remote_due: Time,
     round: usize,
     sizes: Vec<(Time, usize)>,
-    here: Vec<(Time, usize)>,
+    local_sizes: Vec<(Time, usize)>,
 }
 
 impl Fleet {
-    /// Starts a node that knows only its seeds.
+    /// Creates the view of a node that knows only its seeds.
     #[must_use]
     pub fn new(
         me: Node,
-        place: Place,
+        data_centre: Place,
         siblings: Vec<Place>,
         incarnation: u64,
         seeds: &[Node],
@@ -140,7 +144,7 @@
     ) -> Self {
         let mut fleet = Self {
             me,
-            place,
+            data_centre,
             siblings,
             incarnation,
             started: now,
@@ -149,20 +153,20 @@
             seeds: Vec::new(),
             peers: Vec::new(),
             remotes: Vec::new(),
-            news: Vec::new(),
+            announcements: Vec::new(),
             dirty: true,
             local_due: now,
-            quiet_due: now,
-            round_due: now,
+            keepalive_due: now,
+            remote_due: now,
             round: 0,
             sizes: Vec::new(),
-            here: Vec::new(),
+            local_sizes: Vec::new(),
         };
         fleet.set_seeds(seeds, now);
         fleet
     }
 
-    /// Follows a change of the seeds.
+    /// Replaces the seeds and adds them to the peers.
     pub fn set_seeds(&mut self, seeds: &[Node], now: Time) {
         self.seeds = seeds
             .iter()
@@ -170,61 +174,67 @@
             .filter(|&node| node != self.me)
             .collect();
         for node in self.seeds.clone() {
-            self.meet(node, None, now);
+            self.find_or_add_peer(node, None, now);
         }
     }
 
-    /// Returns whether this node shuts down.
+    /// Returns whether this node is shutting down.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Starts to leave: peers take this node for gone with its next beat.
+    /// Starts leaving the fleet: peers stop counting this node with its next heartbeat.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.dirty = true;
-        self.hasten_round();
+        self.hasten_remote();
     }
 
-    /// Notes that what this node says of itself has changed.
+    /// Makes a local heartbeat due, because the reported state has changed.
     pub fn mark_changed(&mut self) {
         self.dirty = true;
     }
 
-    /// Notes a prompt part that an endpoint has read, as this node or another data centre knows.
+    /// Queues the announcement of a cached prefix of an endpoint.
+    ///
+    /// `own` is false if another data centre has announced it; it is then passed on to local peers
+    /// only.
     pub fn announce_prefix(&mut self, prefix: Prefix, endpoint: Key, own: bool, now: Time) {
-        self.news.push(News {
+        self.announcements.push(Announcement {
             prefix,
             endpoint,
-            learnt: now,
+            added: now,
             own,
         });
         self.dirty = true;
     }
 
-    /// Returns the live nodes of a data centre, this one included, in order.
+    /// Returns the live nodes of a data centre in order of address, this node included.
     #[must_use]
-    pub fn live_nodes(&self, place: Place, now: Time) -> Vec<Node> {
-        let peers = self.peers.iter().filter(|peer| peer.place == Some(place));
+    pub fn live_nodes(&self, data_centre: Place, now: Time) -> Vec<Node> {
+        let peers = self
+            .peers
+            .iter()
+            .filter(|peer| peer.data_centre == Some(data_centre));
         let mut nodes: Vec<Node> = peers
             .filter(|peer| self.is_live(peer, now))
             .map(|peer| peer.node)
             .collect();
-        if place == self.place
+        if data_centre == self.data_centre
             && !self.leaving
-            && let Err(at) = nodes.binary_search(&self.me)
+            && let Err(index) = nodes.binary_search(&self.me)
         {
-            nodes.insert(at, self.me);
+            nodes.insert(index, self.me);
         }
         nodes
     }
 
-    /// Returns whether this node is one of the first few for a key among the live nodes of its data
-    /// centre.
+    /// Returns whether this node ranks among the first `count` live nodes of its data centre for a
+    /// key.
     #[must_use]
     pub fn is_among_first(&self, count: usize, key: Key, now: Time) -> bool {
-        let nodes = self.live_nodes(self.place, now);
+        let nodes = self.live_nodes(self.data_centre, now);
         let numbers = nodes.iter().map(|&node| u32::from(node));
         let order = rank::order(u64::from(key), numbers);
         order
@@ -233,125 +243,138 @@
             .any(|&node| node == u32::from(self.me))
     }
 
-    /// Returns whether this node hears so few peers of its data centre that others may act as it does
-    /// without hearing it.
+    /// Returns whether this node may be cut off from other live nodes of its data centre.
+    ///
+    /// Those might then make the same decisions without knowing of this node. It is assumed below
+    /// half of the recent size of the data centre, and shortly after the start.
     #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
-        let here = self.live_nodes(self.place, now).len();
-        let most = self.here.iter().map(|(_, size)| *size).max().unwrap_or(1);
-        2 * here < most || now.saturating_sub(self.started) < ACQUAINTED
+        let here = self.live_nodes(self.data_centre, now).len();
+        let most = self
+            .local_sizes
+            .iter()
+            .map(|(_, size)| *size)
+            .max()
+            .unwrap_or(1);
+        2 * here < most || now.saturating_sub(self.started) < DISCOVERY
     }
 
-    /// Returns the most nodes that were alive lately.
+    /// Returns the largest recent number of live nodes in the fleet.
     ///
-    /// A node that has just started has heard of few and assumes two in each data centre.
+    /// A node that has just started knows few peers and assumes at least two nodes in each data
+    /// centre.
     #[must_use]
-    pub fn recent_size(&self, places: usize, now: Time) -> usize {
+    pub fn recent_size(&self, data_centres: usize, now: Time) -> usize {
         let seen = self.sizes.iter().map(|(_, size)| *size).max().unwrap_or(1);
-        if now.saturating_sub(self.started) < YOUNG {
-            seen.max(2 * places)
+        if now.saturating_sub(self.started) < STARTUP {
+            seen.max(2 * data_centres)
         } else {
             seen
         }
     }
 
-    /// Returns the nodes that are alive now with their data centres, without this one.
+    /// Returns the live nodes and their data centres, without this node.
     #[must_use]
     pub fn members(&self, now: Time) -> Vec<(Node, Place)> {
         let live = self.peers.iter().filter(|peer| self.is_live(peer, now));
-        live.filter_map(|peer| Some((peer.node, peer.place?)))
+        live.filter_map(|peer| Some((peer.node, peer.data_centre?)))
             .collect()
     }
 
-    /// Returns the work that all other nodes together have at an endpoint.
+    /// Returns the sum of all other nodes' load at an endpoint.
     #[must_use]
     pub fn load_at(&self, key: Key) -> Load {
         let local = self.peers.iter().map(|peer| &peer.loads);
         let tables = local.chain(self.remotes.iter().map(|remote| &remote.loads));
         let mut sum = Load::default();
-        for (_, load) in tables.flatten().filter(|(each, _)| *each == key) {
+        for (_, load) in tables.flatten().filter(|(other, _)| *other == key) {
             sum.add(*load);
         }
         sum
     }
 
     fn is_live(&self, peer: &Peer, now: Time) -> bool {
-        !peer.leaving && self.is_heard(peer, now)
+        !peer.leaving && self.is_reachable(peer, now)
     }
 
-    fn is_heard(&self, peer: &Peer, now: Time) -> bool {
-        let limit = if peer.place == Some(self.place) {
-            DEAD
+    fn is_reachable(&self, peer: &Peer, now: Time) -> bool {
+        let limit = if peer.data_centre == Some(self.data_centre) {
+            LOCAL_TIMEOUT
         } else {
-            APART
+            REMOTE_TIMEOUT
         };
-        let recent = |at: Time| now.saturating_sub(at) < limit;
-        peer.heard.is_some_and(recent)
+        let recent = |received: Time| now.saturating_sub(received) < limit;
+        peer.received.is_some_and(recent)
     }
 
-    fn find(&self, node: Node) -> Result<usize, usize> {
+    fn find_peer(&self, node: Node) -> Result<usize, usize> {
         self.peers.binary_search_by_key(&node, |peer| peer.node)
     }
 
-    fn meet(&mut self, node: Node, place: Option<Place>, now: Time) -> Option<usize> {
+    fn find_or_add_peer(
+        &mut self,
+        node: Node,
+        data_centre: Option<Place>,
+        now: Time,
+    ) -> Option<usize> {
         if node == self.me {
             return None;
         }
-        let at = match self.find(node) {
-            Ok(at) => at,
-            Err(at) => {
+        let index = match self.find_peer(node) {
+            Ok(index) => index,
+            Err(index) => {
                 let peer = Peer {
                     node,
-                    place,
+                    data_centre,
                     incarnation: 0,
                     sequence: 0,
-                    heard: None,
-                    known: now,
-                    told: None,
+                    received: None,
+                    last_known: now,
+                    probed: None,
                     leaving: false,
                     loads: Vec::new(),
                 };
-                self.peers.insert(at, peer);
-                at
+                self.peers.insert(index, peer);
+                index
             }
         };
-        if place.is_some() {
-            self.peers[at].place = place;
+        if data_centre.is_some() {
+            self.peers[index].data_centre = data_centre;
         }
-        Some(at)
+        Some(index)
     }
 
-    /// Forgets who is gone and returns the work that is no longer known of, and who fell silent.
+    /// Drops outdated state; returns the load to subtract and the peers that fell silent.
     pub fn expire(&mut self, now: Time) -> (Vec<(Key, Load)>, Vec<Node>) {
         let mut removed = Vec::new();
         let mut silent = Vec::new();
-        for at in 0..self.peers.len() {
-            let peer = &self.peers[at];
-            if peer.heard.is_some() && !self.is_heard(peer, now) {
-                let peer = &mut self.peers[at];
+        for index in 0..self.peers.len() {
+            let peer = &self.peers[index];
+            if peer.received.is_some() && !self.is_reachable(peer, now) {
+                let peer = &mut self.peers[index];
                 removed.append(&mut peer.loads);
-                peer.heard = None;
+                peer.received = None;
                 silent.push(peer.node);
             }
         }
-        for mut remote in self
-            .remotes
-            .extract_if(.., |remote| now.saturating_sub(remote.heard) >= APART)
-        {
+        for mut remote in self.remotes.extract_if(.., |remote| {
+            now.saturating_sub(remote.received) >= REMOTE_TIMEOUT
+        }) {
             removed.append(&mut remote.loads);
         }
         let seeds = &self.seeds;
-        self.peers
-            .retain(|peer| seeds.contains(&peer.node) || now.saturating_sub(peer.known) < FORGET);
-        let here = self.live_nodes(self.place, now).len();
-        let far = round_time(here) * NEWS_ROUNDS;
-        self.news.retain(|news| {
-            let told = if news.own {
-                far.max(NEWS_NEAR)
+        self.peers.retain(|peer| {
+            seeds.contains(&peer.node) || now.saturating_sub(peer.last_known) < FORGET_AFTER
+        });
+        let here = self.live_nodes(self.data_centre, now).len();
+        let remote_time = round_time(here) * ANNOUNCE_ROUNDS;
+        self.announcements.retain(|announcement| {
+            let kept_for = if announcement.own {
+                remote_time.max(LOCAL_ANNOUNCE)
             } else {
-                NEWS_NEAR
+                LOCAL_ANNOUNCE
             };
-            now.saturating_sub(news.learnt) < told
+            now.saturating_sub(announcement.added) < kept_for
         });
         (removed, silent)
     }
--- a/crates/peridotdeck-core/src/dispatch/fleet/receive.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/receive.rs
@@ -1,4 +1,4 @@
-//! What a node takes in from a peer's beat.
+//! Handling of heartbeats that a node receives.
 
 use std::time::Duration;
 
@@ -10,104 +10,111 @@
     id::Time,
 };
 
-/// Time for which the largest size of the fleet is remembered.
-const SIZE_MEMORY: Duration = Duration::from_secs(30);
+/// Time for which an observed size of the fleet counts for the recent maximum.
+const SIZE_RETENTION: Duration = Duration::from_secs(30);
 
 impl Fleet {
-    /// Takes in a beat.
+    /// Applies a peer's heartbeat and returns the changes that it leads to.
+    ///
+    /// A heartbeat that is older than the last one of the same incarnation is ignored.
     pub fn receive(&mut self, beat: &beat::Beat, now: Time) -> Changes {
         let node = Node::from(beat.node);
-        let Some(at) = self.meet(node, Some(beat.place), now) else {
+        let Some(index) = self.find_or_add_peer(node, Some(beat.place), now) else {
             return Changes::default();
         };
-        let peer = &mut self.peers[at];
+        let peer = &mut self.peers[index];
         let restarted = peer.incarnation != beat.incarnation;
         if !restarted && beat.sequence <= peer.sequence {
             return Changes::default();
         }
-        let was_live = self.is_live(&self.peers[at], now);
-        let peer = &mut self.peers[at];
+        let was_live = self.is_live(&self.peers[index], now);
+        let peer = &mut self.peers[index];
         peer.incarnation = beat.incarnation;
         peer.sequence = beat.sequence;
-        peer.heard = Some(now);
-        peer.known = now;
+        peer.received = Some(now);
+        peer.last_known = now;
         peer.leaving = beat.leaving;
-        let mut heard = Changes {
+        let mut changes = Changes {
             joined: !was_live && !beat.leaving,
             reply_requested: beat.joining,
             ..Changes::default()
         };
         if restarted {
-            heard.removed = std::mem::take(&mut self.peers[at].loads);
+            changes.removed = std::mem::take(&mut self.peers[index].loads);
         }
-        self.hear_loads(at, beat, now, &mut heard);
-        self.hear_members(beat, now);
-        self.note_size(now);
-        heard
+        self.receive_loads(index, beat, now, &mut changes);
+        self.receive_members(beat, now);
+        self.record_size(now);
+        changes
     }
 
-    fn hear_loads(&mut self, at: usize, beat: &beat::Beat, now: Time, heard: &mut Changes) {
-        let told: Vec<(Key, Load)> = beat.loads.iter().map(load).collect();
-        let loads = if beat.place == self.place {
-            &mut self.peers[at].loads
+    fn receive_loads(&mut self, index: usize, beat: &beat::Beat, now: Time, changes: &mut Changes) {
+        let reported: Vec<(Key, Load)> = beat.loads.iter().map(load).collect();
+        let loads = if beat.place == self.data_centre {
+            &mut self.peers[index].loads
         } else {
-            &mut self.remote(beat.place, now).loads
+            &mut self.remote_mut(beat.place, now).loads
         };
-        // The others keep what another beat told.
+        // Keys outside the range are reported by the sender's other heartbeats.
         let begin = loads.partition_point(|(key, _)| *key < beat.first);
         let end = loads.partition_point(|(key, _)| *key <= beat.last);
-        heard.added.clone_from(&told);
-        heard.removed.extend(loads.splice(begin..end, told));
+        changes.added.clone_from(&reported);
+        changes.removed.extend(loads.splice(begin..end, reported));
     }
 
-    /// Returns what another data centre has told, and notes that it tells something now.
-    fn remote(&mut self, place: Place, now: Time) -> &mut Remote {
-        let at = self.remotes.iter().position(|each| each.place == place);
-        let at = at.unwrap_or_else(|| {
+    /// Returns the reported load of another data centre and marks it as received now.
+    fn remote_mut(&mut self, data_centre: Place, now: Time) -> &mut Remote {
+        let index = self
+            .remotes
+            .iter()
+            .position(|remote| remote.data_centre == data_centre);
+        let index = index.unwrap_or_else(|| {
             self.remotes.push(Remote {
-                place,
-                heard: now,
+                data_centre,
+                received: now,
                 loads: Vec::new(),
             });
             self.remotes.len() - 1
         });
-        self.remotes[at].heard = now;
-        &mut self.remotes[at]
+        self.remotes[index].received = now;
+        &mut self.remotes[index]
     }
 
-    fn hear_members(&mut self, beat: &beat::Beat, now: Time) {
+    fn receive_members(&mut self, beat: &beat::Beat, now: Time) {
         for member in &beat.members {
-            let Some(at) = self.meet(Node::from(member.node), Some(member.place), now) else {
+            let Some(index) =
+                self.find_or_add_peer(Node::from(member.node), Some(member.place), now)
+            else {
                 continue;
             };
-            // A data centre vouches for its own nodes; the others are only hearsay.
-            if member.place == beat.place && beat.place != self.place {
-                self.peers[at].heard = Some(now);
-                self.peers[at].known = now;
-                self.peers[at].leaving = false;
+            // Only the sender's own data centre counts: it knows others from reports alone.
+            if member.place == beat.place && beat.place != self.data_centre {
+                self.peers[index].received = Some(now);
+                self.peers[index].last_known = now;
+                self.peers[index].leaving = false;
             }
         }
     }
 
-    fn note_size(&mut self, now: Time) {
+    fn record_size(&mut self, now: Time) {
         let size = 1 + self.members(now).len();
-        remember_most(&mut self.sizes, size, now);
-        let here = self.live_nodes(self.place, now).len();
-        remember_most(&mut self.here, here, now);
+        record_max(&mut self.sizes, size, now);
+        let here = self.live_nodes(self.data_centre, now).len();
+        record_max(&mut self.local_sizes, here, now);
     }
 }
 
-/// Keeps what is needed to know the largest size of the last while.
-fn remember_most(sizes: &mut Vec<(Time, usize)>, size: usize, now: Time) {
-    sizes.retain(|&(at, old)| now.saturating_sub(at) < SIZE_MEMORY && old > size);
+/// Adds an observed size and drops those that can no longer be the recent maximum.
+fn record_max(sizes: &mut Vec<(Time, usize)>, size: usize, now: Time) {
+    sizes.retain(|&(seen, old)| now.saturating_sub(seen) < SIZE_RETENTION && old > size);
     sizes.push((now, size));
 }
 
-fn load(told: &beat::Load) -> (Key, Load) {
+fn load(reported: &beat::Load) -> (Key, Load) {
     let load = Load {
-        running: told.running,
-        unread: told.unread,
-        urgent: told.urgent,
+        running: reported.running,
+        unread: reported.unread,
+        urgent: reported.urgent,
     };
-    (told.endpoint, load)
+    (reported.endpoint, load)
 }
--- a/crates/peridotdeck-core/src/dispatch/fleet/send.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/send.rs
@@ -1,118 +1,131 @@
-//! What a node tells its peers, and when.
+//! Composition and schedule of the heartbeats that a node sends.
 
 use std::time::Duration;
 
 use peridotdeck_wire::beat;
 
-use super::{Fleet, NEWS_NEAR, News, Status, YOUNG};
+use super::{Announcement, Fleet, LOCAL_ANNOUNCE, STARTUP, Status};
 use crate::{
     dispatch::{Key, Node, Place},
     id::Time,
 };
 
-/// Longest time between two beats to a peer of the own data centre.
-const QUIET: Duration = Duration::from_millis(400);
+/// Longest time between two heartbeats to a peer of the same data centre.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Shortest time between two beats to a peer of the own data centre.
-const BUSY: Duration = Duration::from_millis(25);
+/// Shortest time between two heartbeats to a peer of the same data centre.
+///
+/// It is a multiple in data centres of more than [`MIN_INTERVAL_NODES`] nodes.
+const MIN_LOCAL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Nodes of a data centre that are told that often; more are told less often.
-const BUSY_NODES: u32 = 10;
+/// Nodes of a data centre for each multiple of [`MIN_LOCAL_INTERVAL`].
+const MIN_INTERVAL_NODES: u32 = 10;
 
-/// Time between two rounds of beats to other data centres.
-const ROUND: Duration = Duration::from_millis(250);
+/// Time between two rounds of heartbeats to other data centres.
+///
+/// It is a multiple in data centres of more than [`ROUND_NODES`] nodes.
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Nodes of a data centre for which a round takes that long; more take longer.
+/// Nodes of a data centre for each multiple of [`ROUND_INTERVAL`].
 const ROUND_NODES: u32 = 4;
 
-/// Rounds to data centres of the same region for each round to others: their callers use the same
-/// endpoints, and the way is short.
+/// Rounds to data centres of the same region for each round to other regions.
+///
+/// Callers in the region use the same endpoints, and the network path is short.
 const SIBLING_ROUNDS: usize = 4;
 
-/// Time between two tries to reach a seed or a member that is not alive, in the first seconds.
-const SEEK: Duration = Duration::from_millis(250);
+/// Time between two probes of a seed or member that is not live, during the startup time.
+const STARTUP_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same later on.
-const SEEK_LATER: Duration = Duration::from_secs(2);
+/// Time between two probes of a seed or member that is not live, after the startup time.
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// News in one beat, so that it fits a datagram.
-const MOST_NEWS: usize = 40;
+/// Most cached prefixes in one heartbeat, so that it fits a datagram.
+const MAX_HOLDINGS: usize = 40;
 
-/// Loads in one beat, so that it fits a datagram; more need further beats.
-const MOST_LOADS: usize = 40;
+/// Most loads in one heartbeat, so that it fits a datagram; more need further heartbeats.
+const MAX_LOADS: usize = 40;
 
-/// Members in one beat, so that it fits a datagram.
-const MOST_MEMBERS: usize = 24;
+/// Most members in one heartbeat, so that it fits a datagram.
+const MAX_MEMBERS: usize = 24;
 
 impl Fleet {
-    /// Returns whether any beat is due.
+    /// Returns whether any heartbeat is due.
     #[must_use]
     pub fn is_due(&self, now: Time) -> bool {
-        now >= self.round_due || now >= self.quiet_due || (self.dirty && now >= self.local_due)
+        now >= self.remote_due || now >= self.keepalive_due || (self.dirty && now >= self.local_due)
     }
 
-    /// Returns the beats that are due.
+    /// Returns the heartbeats that are due, with their receivers.
     pub fn beats(&mut self, status: &Status, now: Time) -> Vec<(Node, beat::Beat)> {
         let mut beats = Vec::new();
-        if now >= self.quiet_due || (self.dirty && now >= self.local_due) {
-            self.beat_locally(status, now, &mut beats);
+        if now >= self.keepalive_due || (self.dirty && now >= self.local_due) {
+            self.send_local(status, now, &mut beats);
         }
-        if now >= self.round_due {
-            self.beat_remotely(status, now, &mut beats);
-            self.seek(status, now, &mut beats);
+        if now >= self.remote_due {
+            self.send_remote(status, now, &mut beats);
+            self.probe_peers(status, now, &mut beats);
         }
         beats
     }
 
-    /// Returns the answer to a peer that joins.
+    /// Returns the heartbeat that replies to a joining peer.
     pub fn reply(&mut self, node: Node, status: &Status, now: Time) -> beat::Beat {
-        let near = self
-            .find(node)
-            .is_ok_and(|at| self.peers[at].place == Some(self.place));
-        let beat = self.compose(status, near, false, now).swap_remove(0);
-        self.number(beat)
+        let local = self
+            .find_peer(node)
+            .is_ok_and(|index| self.peers[index].data_centre == Some(self.data_centre));
+        let beat = self.compose(status, local, false, now).swap_remove(0);
+        self.assign_sequence(beat)
     }
 
-    fn beat_locally(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
+    fn send_local(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
         self.dirty = false;
-        let nodes = self.live_nodes(self.place, now);
-        self.local_due = now + BUSY * (nodes.len() as u32).max(1).div_ceil(BUSY_NODES);
-        self.quiet_due = now + QUIET;
+        let nodes = self.live_nodes(self.data_centre, now);
+        self.local_due =
+            now + MIN_LOCAL_INTERVAL * (nodes.len() as u32).max(1).div_ceil(MIN_INTERVAL_NODES);
+        self.keepalive_due = now + KEEPALIVE_INTERVAL;
         let peers: Vec<Node> = nodes.into_iter().filter(|&node| node != self.me).collect();
         let parts = self.compose(status, true, false, now);
-        self.send(&parts, &peers, beats);
+        self.push_beats(&parts, &peers, beats);
     }
 
-    /// The n-th node of this data centre tells every n-th node of each other one, and the
-    /// assignment shifts with each round. Data centres of the region are told in further rounds.
-    fn beat_remotely(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
-        let here = self.live_nodes(self.place, now);
+    /// Adds the heartbeats of a round to other data centres.
+    ///
+    /// The live nodes there are dealt out in turn to the nodes of this data centre, and the
+    /// assignment shifts with each round. Data centres of the same region take part in every round,
+    /// others only in one of [`SIBLING_ROUNDS`].
+    fn send_remote(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
+        let here = self.live_nodes(self.data_centre, now);
         let count = here.len().max(1);
-        self.round_due = now + round_time(here.len()) / self.rounds() as u32;
+        self.remote_due = now + round_time(here.len()) / self.rounds() as u32;
         self.round += 1;
-        let mine = here.binary_search(&self.me).unwrap_or(0);
-        let mut places: Vec<Place> = self.remotes.iter().map(|each| each.place).collect();
-        places.sort_unstable();
+        let own_index = here.binary_search(&self.me).unwrap_or(0);
+        let mut data_centres: Vec<Place> = self
+            .remotes
+            .iter()
+            .map(|remote| remote.data_centre)
+            .collect();
+        data_centres.sort_unstable();
         let mut peers = Vec::new();
-        for place in places {
-            let Some(turn) = self.turn(place) else {
+        for data_centre in data_centres {
+            let Some(turn) = self.turn(data_centre) else {
                 continue;
             };
-            let there = self.live_nodes(place, now).into_iter();
-            peers.extend(there.skip((mine + turn) % count).step_by(count));
+            let remote_nodes = self.live_nodes(data_centre, now).into_iter();
+            peers.extend(remote_nodes.skip((own_index + turn) % count).step_by(count));
         }
         let parts = self.compose(status, false, false, now);
-        self.send(&parts, &peers, beats);
+        self.push_beats(&parts, &peers, beats);
     }
 
-    /// Makes a round due that tells all other data centres.
-    pub(super) fn hasten_round(&mut self) {
+    /// Makes a round to all other data centres due now.
+    pub(super) fn hasten_remote(&mut self) {
         let rounds = self.rounds();
         self.round = (self.round / rounds + 1) * rounds - 1;
-        self.round_due = Time::ZERO;
+        self.remote_due = Time::ZERO;
     }
 
-    /// Returns in how many rounds all other data centres are told once.
+    /// Returns the number of rounds in which every other data centre takes part at least once.
     fn rounds(&self) -> usize {
         if self.siblings.is_empty() {
             1
@@ -121,9 +134,9 @@
         }
     }
 
-    /// Returns how often a data centre has had its turn, if this is one.
-    fn turn(&self, place: Place) -> Option<usize> {
-        if self.siblings.contains(&place) {
+    /// Returns how many rounds a data centre has had, or nothing if this round skips it.
+    fn turn(&self, data_centre: Place) -> Option<usize> {
+        if self.siblings.contains(&data_centre) {
             return Some(self.round);
         }
         let rounds = self.rounds();
@@ -131,88 +144,99 @@
         due.then(|| self.round / rounds)
     }
 
-    /// Adds the same beats for several peers; each copy has a number of its own.
-    fn send(&mut self, parts: &[beat::Beat], peers: &[Node], beats: &mut Vec<(Node, beat::Beat)>) {
+    /// Adds the same heartbeats for several peers; each copy has its own sequence number.
+    fn push_beats(
+        &mut self,
+        parts: &[beat::Beat],
+        peers: &[Node],
+        beats: &mut Vec<(Node, beat::Beat)>,
+    ) {
         for node in peers {
             for part in parts {
-                let copy = self.number(part.clone());
+                let copy = self.assign_sequence(part.clone());
                 beats.push((*node, copy));
             }
         }
     }
 
-    /// Seeds and members that are not heard are asked to answer, seldom after the first seconds.
-    fn seek(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
+    /// Adds heartbeats that request a reply from seeds and members that are not live.
+    fn probe_peers(&mut self, status: &Status, now: Time, beats: &mut Vec<(Node, beat::Beat)>) {
         if self.leaving {
             return;
         }
-        let young = now.saturating_sub(self.started) < YOUNG;
-        let pause = if young { SEEK } else { SEEK_LATER };
-        for at in 0..self.peers.len() {
-            let peer = &self.peers[at];
+        let starting = now.saturating_sub(self.started) < STARTUP;
+        let interval = if starting {
+            STARTUP_PROBE_INTERVAL
+        } else {
+            PROBE_INTERVAL
+        };
+        for index in 0..self.peers.len() {
+            let peer = &self.peers[index];
             let due = peer
-                .told
-                .is_none_or(|told| now.saturating_sub(told) >= pause);
-            // Nodes of other data centres answer for each other.
-            let needed = match peer.place {
-                Some(place) if place != self.place => {
-                    !self.remotes.iter().any(|each| each.place == place)
-                }
+                .probed
+                .is_none_or(|probed| now.saturating_sub(probed) >= interval);
+            // One live node of another data centre lists the others.
+            let needed = match peer.data_centre {
+                Some(data_centre) if data_centre != self.data_centre => !self
+                    .remotes
+                    .iter()
+                    .any(|remote| remote.data_centre == data_centre),
                 _ => true,
             };
             if due && needed && !peer.leaving && !self.is_live(peer, now) {
-                let near = peer.place == Some(self.place);
+                let local = peer.data_centre == Some(self.data_centre);
                 let node = peer.node;
-                self.peers[at].told = Some(now);
-                let parts = self.compose(status, near, true, now);
-                self.send(&parts, &[node], beats);
+                self.peers[index].probed = Some(now);
+                let parts = self.compose(status, local, true, now);
+                self.push_beats(&parts, &[node], beats);
             }
         }
     }
 
-    /// Gives a beat the next number, by which peers tell an old one.
-    fn number(&mut self, mut beat: beat::Beat) -> beat::Beat {
+    /// Sets the next sequence number, by which peers recognise outdated heartbeats.
+    fn assign_sequence(&mut self, mut beat: beat::Beat) -> beat::Beat {
         self.sequence += 1;
         beat.sequence = self.sequence;
         beat
     }
 
-    /// Returns what this node says now, which has no number yet: a whole beat, and beats with the
-    /// loads that it has no room for.
-    fn compose(&self, status: &Status, near: bool, joining: bool, now: Time) -> Vec<beat::Beat> {
-        let loads = self.sum(status, near);
-        let frame = self.frame(status, joining);
+    /// Returns the heartbeats that report the state of this node, without sequence numbers.
+    ///
+    /// The first one is complete, except that loads beyond [`MAX_LOADS`] are in further ones.
+    fn compose(&self, status: &Status, local: bool, joining: bool, now: Time) -> Vec<beat::Beat> {
+        let loads = self.reported_loads(status, local);
+        let empty = self.empty_beat(status, joining);
         let part = |loads: &[beat::Load]| beat::Beat {
             last: loads.last().map_or(Key::MAX, |load| load.endpoint),
             loads: loads.to_vec(),
-            ..frame.clone()
+            ..empty.clone()
         };
-        let mut beats: Vec<beat::Beat> = loads.chunks(MOST_LOADS).map(part).collect();
+        let mut beats: Vec<beat::Beat> = loads.chunks(MAX_LOADS).map(part).collect();
         if beats.is_empty() {
-            beats.push(frame);
+            beats.push(empty);
         }
-        // Together they cover every endpoint.
-        for at in 1..beats.len() {
-            beats[at].first = beats[at - 1].last.saturating_add(1);
+        // The ranges of all heartbeats together cover every endpoint key.
+        for index in 1..beats.len() {
+            beats[index].first = beats[index - 1].last.saturating_add(1);
         }
         if let Some(beat) = beats.last_mut() {
             beat.last = Key::MAX;
         }
-        let whole = &mut beats[0];
-        whole.members = self.introduce(joining || !near, now);
-        whole.holdings = self.holdings(near, now);
-        whole.health.clone_from(&status.health);
-        whole.strikes.clone_from(&status.strikes);
+        let first = &mut beats[0];
+        first.members = self.listed_members(joining || !local, now);
+        first.holdings = self.holdings(local, now);
+        first.health.clone_from(&status.health);
+        first.strikes.clone_from(&status.strikes);
         beats
     }
 
-    /// Returns a beat that tells who speaks and what is in force, and that nothing has any load.
-    fn frame(&self, status: &Status, joining: bool) -> beat::Beat {
+    /// Returns a heartbeat with the sender and the revisions in force that reports no load at all.
+    fn empty_beat(&self, status: &Status, joining: bool) -> beat::Beat {
         beat::Beat {
             node: self.me.into(),
             incarnation: self.incarnation,
             sequence: 0,
-            place: self.place,
+            place: self.data_centre,
             leaving: self.leaving,
             joining,
             policy: status.policy,
@@ -227,44 +251,56 @@
         }
     }
 
-    fn holdings(&self, near: bool, now: Time) -> Vec<beat::Holding> {
-        let recent = |news: &&News| now.saturating_sub(news.learnt) < NEWS_NEAR;
-        let news = self.news.iter().rev();
-        let told = news.filter(|news| if near { recent(news) } else { news.own });
-        told.take(MOST_NEWS)
-            .map(|news| beat::Holding {
-                endpoint: news.endpoint,
-                prefix: news.prefix,
+    fn holdings(&self, local: bool, now: Time) -> Vec<beat::Holding> {
+        let recent =
+            |announcement: &&Announcement| now.saturating_sub(announcement.added) < LOCAL_ANNOUNCE;
+        let announcements = self.announcements.iter().rev();
+        let chosen = announcements.filter(|announcement| {
+            if local {
+                recent(announcement)
+            } else {
+                announcement.own
+            }
+        });
+        chosen
+            .take(MAX_HOLDINGS)
+            .map(|announcement| beat::Holding {
+                endpoint: announcement.endpoint,
+                prefix: announcement.prefix,
             })
             .collect()
     }
 
-    /// Names the live nodes; peers of the same data centre know each other after the first beat.
-    fn introduce(&self, fully: bool, now: Time) -> Vec<beat::Member> {
-        if !fully && !self.round.is_multiple_of(8) {
+    /// Returns the live nodes that a heartbeat lists, those of this data centre first.
+    ///
+    /// Peers of the same data centre know each other after the first heartbeat, so the list is sent
+    /// to them only in one of eight rounds.
+    fn listed_members(&self, complete: bool, now: Time) -> Vec<beat::Member> {
+        if !complete && !self.round.is_multiple_of(8) {
             return Vec::new();
         }
         let mut members = self.members(now);
         if !self.leaving {
-            members.push((self.me, self.place));
+            members.push((self.me, self.data_centre));
         }
-        members.sort_by_key(|&(node, place)| (place != self.place, node));
-        let named = members.into_iter().take(MOST_MEMBERS);
+        members.sort_by_key(|&(node, data_centre)| (data_centre != self.data_centre, node));
+        let named = members.into_iter().take(MAX_MEMBERS);
         named
-            .map(|(node, place)| beat::Member {
+            .map(|(node, data_centre)| beat::Member {
                 node: node.into(),
-                place,
+                place: data_centre,
             })
             .collect()
     }
 
-    fn sum(&self, status: &Status, near: bool) -> Vec<beat::Load> {
+    /// Returns this node's loads, or for other data centres the sum of the whole data centre.
+    fn reported_loads(&self, status: &Status, local: bool) -> Vec<beat::Load> {
         let mut loads = status.loads.clone();
-        if !near {
+        if !local {
             let peers = self
                 .peers
                 .iter()
-                .filter(|peer| peer.place == Some(self.place));
+                .filter(|peer| peer.data_centre == Some(self.data_centre));
             loads.extend(peers.flat_map(|peer| peer.loads.iter().copied()));
             loads.sort_unstable_by_key(|(key, _)| *key);
             loads.dedup_by(|(other, more), (key, load)| {
@@ -287,7 +323,10 @@
     }
 }
 
-/// The sum of many nodes changes less from round to round, and costs more to tell them all.
+/// Returns the time between two rounds to other data centres.
+///
+/// It grows with the number of nodes: their sum changes less from round to round, and sending it to
+/// all nodes costs more.
 pub(super) fn round_time(nodes: usize) -> Duration {
-    ROUND * (nodes as u32).max(1).div_ceil(ROUND_NODES)
+    ROUND_INTERVAL * (nodes as u32).max(1).div_ceil(ROUND_NODES)
 }
