--- a/crates/peridotdeck-core/src/dispatch/endpoint.rs
+++ b/crates/peridotdeck-core/src/dispatch/endpoint.rs
@@ -1,45 +1,45 @@
-//! What a node knows about one endpoint.
+//! State of one endpoint at this node: load, health, slowdown and backoff.
 
 use std::time::Duration;
 
 use super::{Key, registry};
 use crate::{id::Time, limit::Bucket};
 
-/// First rest after a failure to reach the endpoint; it doubles with each further failure.
+/// First backoff after a failure to reach the endpoint; it doubles with each further failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest rest.
+/// Longest backoff after a failure to reach the endpoint.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Time in which the weight of an observed end falls to a half.
+/// Time in which the weight of an attempt's outcome falls to a half.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Weight of the newest answer in the slowdown.
+/// Weight of the newest answer in the moving average of the slowdown.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Bounds of the slowdown: one answer must not condemn or exalt an endpoint.
+/// Bounds of the slowdown of one answer, so that a single one cannot dominate the average.
 const SLOWDOWN_RANGE: (f64, f64) = (0.5, 12.0);
 
-/// Unfinished work at an endpoint.
+/// Unfinished requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub running: u32,
-    /// Prompt tokens that have yet to be read.
+    /// Prompt tokens before prefill.
     pub unread: u32,
-    /// Requests with a short target among those that run.
+    /// Number of requests that are urgent streams, which have a short target.
     pub urgent: u32,
 }
 
 impl Load {
-    /// Adds other work.
+    /// Adds another load.
     pub fn add(&mut self, other: Self) {
         self.running += other.running;
         self.unread += other.unread;
         self.urgent += other.urgent;
     }
 
-    /// Takes other work away.
+    /// Subtracts another load, down to zero.
     pub fn subtract(&mut self, other: Self) {
         self.running = self.running.saturating_sub(other.running);
         self.unread = self.unread.saturating_sub(other.unread);
@@ -47,16 +47,18 @@
     }
 }
 
-/// Ends of attempts, weighted by how recent they are.
+/// Outcomes of attempts, weighted by how recent they are.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Health {
     good: f64,
     bad: f64,
-    at: Time,
+    updated: Time,
 }
 
 impl Health {
-    /// Counts an end; `weight` is how surprising it is.
+    /// Adds an outcome to the counts.
+    ///
+    /// `weight` is 1 for an unexpected outcome and smaller for one that was to be expected.
     pub fn record(&mut self, good: bool, weight: f64, now: Time) {
         *self = self.decayed(now);
         if good {
@@ -66,25 +68,29 @@
         }
     }
 
-    /// Returns good and bad ends as they weigh now.
+    /// Returns the decayed weights of good and of bad outcomes.
     #[must_use]
     pub fn weights(&self, now: Time) -> (f64, f64) {
         let health = self.decayed(now);
         (health.good, health.bad)
     }
 
-    /// Replaces the counts by those that a peer told.
+    /// Replaces the counts by those that a peer reported.
     pub fn set(&mut self, good: f64, bad: f64, now: Time) {
-        *self = Self { good, bad, at: now };
+        *self = Self {
+            good,
+            bad,
+            updated: now,
+        };
     }
 
     fn decayed(self, now: Time) -> Self {
-        let halves = now.saturating_sub(self.at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let halves = now.saturating_sub(self.updated).as_secs_f64() / HALF_LIFE.as_secs_f64();
         let factor = 0.5_f64.powf(halves);
         Self {
             good: self.good * factor,
             bad: self.bad * factor,
-            at: now,
+            updated: now,
         }
     }
 }
@@ -92,19 +98,19 @@
 /// State of one endpoint at this node.
 #[derive(Clone, Debug)]
 pub struct State {
-    /// Digest of its id and start.
+    /// Digest of the endpoint's id and start.
     pub key: Key,
-    /// What it says of itself.
+    /// The endpoint's entry in the registry.
     pub info: registry::Endpoint,
-    /// Region of its data centre.
+    /// Region of the endpoint's data centre.
     pub region: String,
-    /// Work that this node has sent it.
+    /// Load that this node has sent to the endpoint.
     pub own_load: Load,
-    /// Work that other nodes have sent it.
+    /// Load that other nodes report to have sent to the endpoint.
     pub peer_load: Load,
-    /// Ends that this node has seen.
+    /// Outcomes of this node's attempts.
     pub health: Health,
-    /// Ends that other nodes have told.
+    /// Outcomes that a peer reported last.
     pub peer_health: Health,
     slowdown: f64,
     cold_until: Time,
@@ -116,7 +122,7 @@
 }
 
 impl State {
-    /// Starts with an endpoint that has just become known.
+    /// Creates the state of an endpoint that has just become known.
     #[must_use]
     pub fn new(info: registry::Endpoint, region: String, now: Time) -> Self {
         let cold_until = now + info.cold;
@@ -138,7 +144,7 @@
         }
     }
 
-    /// Follows a change of the endpoint's entry.
+    /// Replaces the registry entry; a changed cold time starts anew.
     pub fn update(&mut self, info: registry::Endpoint, now: Time) {
         if info.cold != self.info.cold {
             self.cold_until = now + info.cold;
@@ -146,7 +152,7 @@
         self.info = info;
     }
 
-    /// Returns all work that is known.
+    /// Returns the load of this node and its peers together.
     #[must_use]
     pub fn load(&self) -> Load {
         let mut load = self.own_load;
@@ -154,63 +160,65 @@
         load
     }
 
-    /// Returns how much slower than expected the endpoint answers.
+    /// Returns the mean ratio of observed to expected answer time; 1 is as expected.
     #[must_use]
     pub fn slowdown(&self) -> f64 {
         self.slowdown
     }
 
-    /// Learns from the time to an answer.
+    /// Updates the slowdown with the time to an answer.
     pub fn record_answer_time(&mut self, expected: Duration, observed: Duration) {
         let ratio = observed.as_secs_f64() / expected.as_secs_f64().max(1e-3);
         let ratio = ratio.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
         self.slowdown += NEWEST_WEIGHT * (ratio - self.slowdown);
     }
 
-    /// Returns whether the endpoint bears little now.
+    /// Returns whether the endpoint is cold and takes only a limited request rate.
     #[must_use]
     pub fn is_cold(&self, now: Time) -> bool {
         now < self.cold_until
     }
 
-    /// Notes that the endpoint bears little for a while.
+    /// Treats the endpoint as cold at least until a time.
     pub fn mark_cold(&mut self, until: Time) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// Takes one request's worth of this node's share of what a cold endpoint bears.
+    /// Takes a token for one request from this node's share of a cold endpoint's rate.
+    ///
+    /// `rate` is the share in requests per second.
     ///
     /// # Errors
-    /// The wait until the share allows one more.
+    /// Returns the wait until the share allows another request.
     pub fn admit_while_cold(&mut self, rate: f64, now: Time) -> Result<(), Duration> {
         self.cold_bucket.take(rate, 1.0, now)
     }
 
-    /// Returns whether the endpoint rests after it could not be reached.
+    /// Returns whether the endpoint could not be reached and has not been reached since.
     #[must_use]
     pub fn is_in_backoff(&self) -> bool {
         self.failures > 0
     }
 
-    /// Returns whether a connection ended without a word, and no probe has been answered since.
+    /// Returns whether a connection broke without an answer and no probe has succeeded since.
     #[must_use]
     pub fn is_suspected(&self) -> bool {
         self.suspected
     }
 
-    /// Returns when a probe should show whether the endpoint is there.
+    /// Returns when to probe the endpoint, if it needs a probe and none is running.
     #[must_use]
     pub fn probe_due(&self) -> Option<Time> {
         let needed = self.failures > 0 || self.suspected;
         (needed && !self.probing).then_some(self.backoff_until)
     }
 
-    /// Starts a probe.
+    /// Marks a probe as running.
     pub fn start_probe(&mut self) {
         self.probing = true;
     }
 
-    /// Notes that the endpoint could not be reached.
+    /// Records a failure to reach the endpoint, which starts or extends its backoff.
     pub fn record_unreachable(&mut self, now: Time) {
         self.probing = false;
         let backoff = FIRST_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
@@ -218,7 +226,7 @@
         self.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// Asks for a probe at once: a connection ended without a word.
+    /// Makes a probe due now, because a connection broke without an answer.
     pub fn suspect(&mut self, now: Time) {
         self.suspected = true;
         if self.failures == 0 {
@@ -226,17 +234,17 @@
         }
     }
 
-    /// Ends the rest, because a connection was accepted, and returns whether there was one.
+    /// Ends backoff and suspicion after an accepted connection; returns whether it was in backoff.
     pub fn record_reachable(&mut self) -> bool {
         self.probing = false;
         self.suspected = false;
         std::mem::take(&mut self.failures) > 0
     }
 
-    /// Returns the part of recent attempts that failed, over all nodes that are heard.
+    /// Returns the share of recent attempts that failed, including those that peers reported.
     #[must_use]
     pub fn failure_rate(&self, now: Time) -> f64 {
-        /// Good ends that are assumed at the beginning.
+        /// Weight of good outcomes that every endpoint starts with.
         const ASSUMED_GOOD: f64 = 1.5;
         let (good, bad) = self.health.weights(now);
         let (peer_good, peer_bad) = self.peer_health.weights(now);
--- a/crates/peridotdeck-core/src/dispatch/placement.rs
+++ b/crates/peridotdeck-core/src/dispatch/placement.rs
@@ -1,10 +1,10 @@
-//! Which endpoint gets a request, or why none does.
+//! Scores of endpoints for a request, and the reasons that exclude an endpoint.
 //!
-//! Every endpoint that may take the request is given a score in milliseconds, and the lowest wins.
-//! The score adds the expected time to the first answer, the endpoint's own work, what the request
-//! does to others there, and what reading a prompt again, moving cached prompts and crossing regions
-//! are worth in time. A cached prefix is used where it lies if that is near and free, or fetched
-//! from there by the endpoint that is.
+//! Every endpoint that may take the request gets a score in milliseconds, and the lowest wins. The
+//! score adds up the expected time to the first answer, the endpoint's own work, the delay of other
+//! requests there, and the cost of repeated prefill, of moving cached prompts and of crossing
+//! regions, each expressed as time. A cached prefix is used at the endpoint that holds it if that
+//! one is near and free. Otherwise a near and free endpoint can fetch it from there.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -18,144 +18,146 @@
 };
 use crate::id::Time;
 
-/// Prompt tokens that an engine reads in a millisecond, before its pace is known.
-const READ_PER_MS: f64 = 80.0;
+/// Prefill rate of an engine in prompt tokens per millisecond, before its slowdown is applied.
+const PREFILL_TOKENS_PER_MS: f64 = 80.0;
 
-/// Time from a request to the first token of an idle engine, without reading.
-const FIRST_MS: f64 = 45.0;
+/// Time to the first token of an idle engine in milliseconds, without prefill.
+const FIRST_TOKEN_MS: f64 = 45.0;
 
-/// Round trip to an endpoint in another region.
-const FAR_MS: f64 = 60.0;
+/// Round-trip time to an endpoint in another region, in milliseconds.
+const OTHER_REGION_RTT_MS: f64 = 60.0;
 
-/// Round trip to an endpoint in the same region.
-const NEAR_MS: f64 = 1.0;
+/// Round-trip time to an endpoint in the same region, in milliseconds.
+const SAME_REGION_RTT_MS: f64 = 1.0;
 
-/// What crossing into another region is worth beside the time: traffic there is paid by volume, and
-/// the load there is known late, so many nodes may choose the same endpoint at once.
-const REGION_SCORE: f64 = 120.0;
+/// Score of an endpoint in another region, in addition to the round-trip time.
+///
+/// Traffic between regions is paid by volume. The load there is also known late, so many nodes may
+/// choose the same endpoint at once.
+const OTHER_REGION_SCORE_MS: f64 = 120.0;
 
-/// What crossing into another data centre of the region is worth.
-const PLACE_SCORE: f64 = 40.0;
+/// Score of an endpoint in another data centre of the same region.
+const OTHER_DATA_CENTRE_SCORE_MS: f64 = 40.0;
 
-/// What reading a thousand tokens again is worth beside the time.
-const REREAD_SCORE_PER_K: f64 = 110.0;
+/// Score of the repeated prefill of a thousand tokens, in addition to the time.
+const REREAD_SCORE_MS_PER_K: f64 = 110.0;
 
-/// What moving a thousand cached tokens is worth beside the time.
-const FETCH_SCORE_PER_K: f64 = 25.0;
+/// Score of fetching a thousand cached tokens, in addition to the time.
+const FETCH_SCORE_MS_PER_K: f64 = 25.0;
 
-/// Time to begin a fetch between engines.
-const FETCH_MS: f64 = 8.0;
+/// Time to set up a fetch between engines, in milliseconds.
+const FETCH_SETUP_MS: f64 = 8.0;
 
-/// Missing tokens below which a fetch is not worth its beginning.
-const FETCH_TOKENS: u32 = 100;
+/// Fewest missing tokens that are worth the setup of a fetch.
+const MIN_FETCH_TOKENS: u32 = 100;
 
-/// Score of a target's worth of waiting as long as the answer is safely on time.
-const WAIT_SCORE: f64 = 200.0;
+/// Score of the expected time to the first answer, for each target of the route.
+const WAIT_SCORE_MS: f64 = 200.0;
 
-/// Part of the target up to which an expected answer counts as safely on time.
-const SAFE_PART: f64 = 0.6;
+/// Share of the target up to which an expected answer counts as safely on time.
+const SAFE_TARGET_SHARE: f64 = 0.6;
 
-/// Score of a target's worth of waiting beyond that.
-const LATE_SCORE: f64 = 2_000.0;
+/// Additional score of the time beyond the safe share, for each target of the route.
+const LATE_SCORE_MS: f64 = 2_000.0;
 
-/// Part of the reading time that a request costs each urgent stream beside it.
-const DISTURBANCE: f64 = 0.3;
+/// Share of a request's prefill time by which it delays each urgent stream at the endpoint.
+const URGENT_DELAY_SHARE: f64 = 0.3;
 
-/// Urgent streams that count for that.
-const MOST_DISTURBED: u32 = 8;
+/// Most urgent streams whose delay by a prefill counts.
+const MAX_DELAYED_STREAMS: u32 = 8;
 
-/// Unread tokens that an engine puts before an urgent request.
-const AHEAD_OF_URGENT: u32 = 4_096;
+/// Most queued tokens that an engine reads in full before an urgent request.
+const URGENT_QUEUE_TOKENS: u32 = 4_096;
 
-/// Part of the other unread tokens that still delays an urgent request.
-const BEHIND_URGENT: f64 = 0.3;
+/// Share of further queued tokens that still delays an urgent request.
+const URGENT_QUEUE_SHARE: f64 = 0.3;
 
-/// Part of the reading time that a request costs each other stream beside it.
-const SLOWDOWN: f64 = 0.04;
+/// Share of a request's prefill time by which it delays each running request at the endpoint.
+const BATCH_DELAY_SHARE: f64 = 0.04;
 
-/// Score of each request that runs already: it slows the others' tokens.
-const COMPANY_SCORE: f64 = 4.0;
+/// Score of each running request at the endpoint, as a larger batch slows down every token.
+const CONCURRENCY_SCORE_MS: f64 = 4.0;
 
-/// Score of an endpoint that reads without a break, for a stream that is late beside that.
-const NOISE_SCORE: f64 = 1_000.0;
+/// Score, for a gap-sensitive stream, of queued prefill that fills the allowed token gap.
+const PREFILL_GAP_SCORE_MS: f64 = 1_000.0;
 
-/// Score of each such stream at an endpoint, for a prompt that makes the endpoint read so long.
-const INTRUSION_SCORE: f64 = 300.0;
+/// Score, for a prompt whose prefill fills the allowed token gap, of each urgent stream there.
+const STREAM_GAP_SCORE_MS: f64 = 300.0;
 
-/// Such streams at one endpoint that count.
-const MOST_INTRUDED: u32 = 16;
+/// Most urgent streams at one endpoint whose token gaps count.
+const MAX_GAP_STREAMS: u32 = 16;
 
-/// Part of the allowed pause that reading may fill; the rest is for the tokens themselves.
-const READING_PART: f64 = 0.6;
+/// Share of the allowed token gap that prefill may fill; decoding takes the rest.
+const PREFILL_GAP_SHARE: f64 = 0.6;
 
-/// Part of that up to which nobody notices.
-const UNNOTICED_PART: f64 = 0.5;
+/// Share of the prefill's part of a token gap up to which prefill is not noticed.
+const HARMLESS_GAP_SHARE: f64 = 0.5;
 
-/// Largest score by which such streams prefer some endpoints to others, so that they meet there.
-const MEETING_SCORE: f64 = 300.0;
+/// Largest score by which all nodes prefer the same endpoints, to co-locate gap-sensitive streams.
+const CO_LOCATION_SCORE_MS: f64 = 300.0;
 
-/// Score of an endpoint all of whose attempts fail, in targets of the route.
+/// Score of an endpoint whose attempts all fail, in targets of the route.
 const FAILURE_TARGETS: f64 = 5.0;
 
-/// Part of failures that any endpoint may show by chance.
-const CHANCE: f64 = 0.15;
+/// Share of failed attempts that any endpoint may show by chance, which adds no score.
+const CHANCE_FAILURE_SHARE: f64 = 0.15;
 
-/// Score of an endpoint whose connection has just ended without a word.
-const SUSPICION_SCORE: f64 = 80.0;
+/// Score of an endpoint whose connection has just broken without an answer.
+const SUSPECTED_SCORE_MS: f64 = 80.0;
 
-/// Longest target of an urgent stream.
-pub const URGENT: Duration = Duration::from_millis(500);
+/// Longest target of a stream that counts as urgent.
+pub const URGENT_TARGET: Duration = Duration::from_millis(500);
 
-/// Why an endpoint cannot take a request now.
+/// Reason why an endpoint cannot take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Exclusion {
-    /// It belongs to another service.
+    /// The endpoint belongs to another service.
     Service,
-    /// A region that may not serve the request.
+    /// The endpoint's region may not serve the request.
     Region,
-    /// Its data centre is taken out.
+    /// The endpoint's data centre is closed for new requests.
     Closed,
-    /// It is about to leave.
+    /// The endpoint is draining.
     Draining,
-    /// The request has been there.
+    /// The request has already been sent to the endpoint.
     Tried,
-    /// It could not be reached lately.
+    /// The endpoint is in backoff because it could not be reached.
     Resting,
-    /// It is cold, and another node counts what it bears.
+    /// The endpoint is cold, and other nodes share its limited rate.
     ColdElsewhere,
-    /// It is cold and bears no more now.
+    /// The endpoint is cold, and this node's share of its rate is used up.
     Cold,
 }
 
-/// What one endpoint would do for a request.
+/// Estimate of how one endpoint would serve a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// Score in milliseconds; lower is better.
     pub score: f64,
-    /// Expected time to the answer or to the first event.
+    /// Expected time to the answer, or to the first event of a stream.
     pub time_to_first: Duration,
-    /// Prompt tokens that it has read already.
+    /// Prompt tokens in the endpoint's own prefix cache.
     pub cached: u32,
-    /// Prompt tokens that it will read.
+    /// Prompt tokens that need prefill at the endpoint.
     pub unread: u32,
-    /// Prompt tokens that some endpoint has read already.
+    /// Most prompt tokens in the prefix cache of any endpoint.
     pub cached_anywhere: u32,
-    /// Where it should fetch the beginning of the prompt from.
+    /// Endpoint to fetch the beginning of the prompt from, if that is better.
     pub source: Option<Key>,
 }
 
-/// Tokens of a prompt's beginning that an endpoint holds.
+/// Number of tokens of a prompt's beginning that an endpoint caches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CachedTokens {
-    /// Tokens that have been sent to it, so that it has read them when its turn comes.
+    /// Tokens that were sent to the endpoint, which reads them before a later request.
     pub sent: u32,
-    /// Tokens that it has surely read, so that another endpoint can fetch them.
+    /// Tokens that it has certainly read, so that another endpoint can fetch them.
     pub read: u32,
 }
 
 impl CachedTokens {
-    /// Returns the larger part of either.
+    /// Returns the larger of both counts.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -165,32 +167,34 @@
     }
 }
 
-/// What a placement looks at beside the request.
+/// Inputs of a placement other than the request.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     /// All endpoints, sorted by key.
     pub states: &'a [State],
-    /// What each of the endpoints holds of the prompt's beginning.
+    /// Cached tokens of the prompt at each endpoint, in the order of `states`.
     pub cached: &'a [CachedTokens],
-    /// The most that any of them holds.
+    /// Largest counts of cached tokens at any endpoint.
     pub most_cached: CachedTokens,
-    /// Tokens of the prompt's beginning that some endpoint has used lately.
+    /// Tokens of the prompt's beginning that were recently used at any endpoint.
     pub recent: u32,
-    /// Shortest pause that is allowed to streams which are late beside long prompts, if any are.
+    /// Shortest token gap allowed to the service's gap-sensitive streams, if there are any.
+    ///
+    /// A stream is gap-sensitive if long prompts at its endpoint delay its tokens too much.
     pub max_token_gap: Option<Duration>,
-    /// Whether the request is such a stream.
+    /// Whether the request is a gap-sensitive stream.
     pub gap_sensitive: bool,
-    /// The node's own data centre.
+    /// Name of the node's data centre.
     pub data_centre: &'a str,
-    /// The node's own region.
+    /// Name of the node's region.
     pub region: &'a str,
-    /// Mean time of the service's answers in milliseconds, for services without a model.
+    /// Mean time to the service's answers in milliseconds, for services without a model.
     pub plain_ms: f64,
-    /// Mean time of the service's whole answers in milliseconds.
+    /// Mean time to the end of the service's answers in milliseconds.
     pub whole_answer_ms: f64,
-    /// Median pace of the service's endpoints.
+    /// Median slowdown of the service's endpoints.
     pub median_slowdown: f64,
-    /// The time.
+    /// Time of the placement.
     pub now: Time,
 }
 
@@ -198,78 +202,82 @@
     /// Returns the state of an endpoint.
     #[must_use]
     pub fn state(&self, key: Key) -> Option<&State> {
-        let at = self
+        let index = self
             .states
-            .binary_search_by_key(&key, |each| each.key)
+            .binary_search_by_key(&key, |state| state.key)
             .ok()?;
-        Some(&self.states[at])
+        Some(&self.states[index])
     }
 
-    /// Estimates what an endpoint would do for a request.
+    /// Estimates how an endpoint would serve a request, with a fetch if that is better.
     #[must_use]
     pub fn estimate(&self, state: &State, flight: &Flight, service: &Service) -> Estimate {
         let Some(model) = &service.model else {
-            return self.weigh(self.estimate_plain(state), state, flight);
+            return self.add_common_score(self.estimate_plain(state), state, flight);
         };
-        let reading = self.estimate_model(state, flight, model, None);
-        let reading = self.weigh(reading, state, flight);
-        let Some(source) = self.source(state, flight, reading.cached) else {
-            return reading;
+        let without_fetch = self.estimate_model(state, flight, model, None);
+        let without_fetch = self.add_common_score(without_fetch, state, flight);
+        let Some(source) = self.find_source(state, flight, without_fetch.cached) else {
+            return without_fetch;
         };
-        let fetching = self.estimate_model(state, flight, model, Some(source));
-        let fetching = self.weigh(fetching, state, flight);
-        if fetching.score < reading.score {
-            fetching
+        let with_fetch = self.estimate_model(state, flight, model, Some(source));
+        let with_fetch = self.add_common_score(with_fetch, state, flight);
+        if with_fetch.score < without_fetch.score {
+            with_fetch
         } else {
-            reading
+            without_fetch
         }
     }
 
-    /// Adds what holds for every kind of endpoint to a score.
-    fn weigh(&self, mut estimate: Estimate, state: &State, flight: &Flight) -> Estimate {
-        let target = flight.route.target.as_secs_f64() * 1e3;
-        let first = estimate.time_to_first.as_secs_f64() * 1e3;
-        let part = first / target.max(1.0);
-        estimate.score += WAIT_SCORE * part + LATE_SCORE * (part - SAFE_PART).max(0.0);
-        let failing = (state.failure_rate(self.now) - CHANCE).max(0.0);
-        estimate.score += failing * FAILURE_TARGETS * target;
+    /// Adds the parts of the score that apply to endpoints with and without a model.
+    fn add_common_score(&self, mut estimate: Estimate, state: &State, flight: &Flight) -> Estimate {
+        let target_ms = flight.route.target.as_secs_f64() * 1e3;
+        let first_ms = estimate.time_to_first.as_secs_f64() * 1e3;
+        let share = first_ms / target_ms.max(1.0);
+        estimate.score +=
+            WAIT_SCORE_MS * share + LATE_SCORE_MS * (share - SAFE_TARGET_SHARE).max(0.0);
+        let failing = (state.failure_rate(self.now) - CHANCE_FAILURE_SHARE).max(0.0);
+        estimate.score += failing * FAILURE_TARGETS * target_ms;
         if state.region != self.region {
-            estimate.score += REGION_SCORE;
+            estimate.score += OTHER_REGION_SCORE_MS;
         } else if state.info.data_centre != self.data_centre {
-            estimate.score += PLACE_SCORE;
+            estimate.score += OTHER_DATA_CENTRE_SCORE_MS;
         }
         if state.is_suspected() {
-            estimate.score += SUSPICION_SCORE;
+            estimate.score += SUSPECTED_SCORE_MS;
         }
         estimate
     }
 
-    /// Returns how much slower an endpoint is than its peers; a slow day slows them all.
+    /// Returns the factor on an endpoint's expected times.
+    ///
+    /// It is the median slowdown of the service, times the endpoint's own relative slowdown if that
+    /// is significant. So a slowdown of the whole service favours no endpoint.
     fn slowdown(&self, state: &State) -> f64 {
-        /// Differences within this factor are noise.
-        const NOISE: f64 = 1.5;
-        let pace = state.slowdown() / self.median_slowdown.max(0.1);
-        self.median_slowdown.clamp(0.5, 3.0) * if pace > NOISE { pace } else { 1.0 }
+        /// Factor up to which a relative slowdown counts as measurement noise.
+        const TOLERANCE: f64 = 1.5;
+        let slowdown = state.slowdown() / self.median_slowdown.max(0.1);
+        self.median_slowdown.clamp(0.5, 3.0) * if slowdown > TOLERANCE { slowdown } else { 1.0 }
     }
 
-    fn path_ms(&self, state: &State) -> f64 {
+    fn round_trip_ms(&self, state: &State) -> f64 {
         if state.region == self.region {
-            NEAR_MS
+            SAME_REGION_RTT_MS
         } else {
-            FAR_MS
+            OTHER_REGION_RTT_MS
         }
     }
 
     fn estimate_plain(&self, state: &State) -> Estimate {
         let load = state.load();
         let slots = f64::from(state.info.slots.max(1));
-        let rounds = (f64::from(load.running + 1) / slots).max(1.0);
-        let first = self.path_ms(state) + self.plain_ms * rounds * self.slowdown(state);
+        let batches = (f64::from(load.running + 1) / slots).max(1.0);
+        let first_ms = self.round_trip_ms(state) + self.plain_ms * batches * self.slowdown(state);
         // Spreads requests over equal endpoints before their queues grow.
         let score = self.plain_ms * f64::from(load.running) / slots;
         Estimate {
             score,
-            time_to_first: Duration::from_secs_f64(first / 1e3),
+            time_to_first: Duration::from_secs_f64(first_ms / 1e3),
             cached: 0,
             unread: 0,
             cached_anywhere: 0,
@@ -286,79 +294,88 @@
     ) -> Estimate {
         let cached = self.cached_tokens(state.key);
         let (known, fetch_ms) = match source {
-            Some((at, tokens)) => (tokens, self.fetch_ms(state, at, tokens - cached, model)),
+            Some((holder, tokens)) => {
+                (tokens, self.fetch_ms(state, holder, tokens - cached, model))
+            }
             None => (cached, 0.0),
         };
         let unread = flight.prompt.tokens.saturating_sub(known);
         let load = state.load();
         let urgent = is_urgent(flight);
         let ahead = if urgent {
-            let first = load.unread.min(AHEAD_OF_URGENT);
-            f64::from(first) + BEHIND_URGENT * f64::from(load.unread - first)
+            let first = load.unread.min(URGENT_QUEUE_TOKENS);
+            f64::from(first) + URGENT_QUEUE_SHARE * f64::from(load.unread - first)
         } else {
             f64::from(load.unread)
         };
-        let reading = f64::from(unread) / READ_PER_MS;
-        let beyond = f64::from((load.running + 1).saturating_sub(model.slots));
-        let queueing = self.whole_answer_ms * beyond / f64::from(model.slots.max(1));
-        let first = FIRST_MS + queueing + ahead / READ_PER_MS + reading;
-        let first = self.path_ms(state) + fetch_ms + first * self.slowdown(state);
-        let mut score =
-            reading + DISTURBANCE * reading * f64::from(load.urgent.min(MOST_DISTURBED));
-        score += (SLOWDOWN * reading + COMPANY_SCORE) * f64::from(load.running);
-        score += self.moving_score(known, known - cached);
-        score += self.interference(state, load, reading);
+        let prefill_ms = f64::from(unread) / PREFILL_TOKENS_PER_MS;
+        let excess = f64::from((load.running + 1).saturating_sub(model.slots));
+        let queueing_ms = self.whole_answer_ms * excess / f64::from(model.slots.max(1));
+        let first_ms = FIRST_TOKEN_MS + queueing_ms + ahead / PREFILL_TOKENS_PER_MS + prefill_ms;
+        let first_ms = self.round_trip_ms(state) + fetch_ms + first_ms * self.slowdown(state);
+        let mut score = prefill_ms
+            + URGENT_DELAY_SHARE * prefill_ms * f64::from(load.urgent.min(MAX_DELAYED_STREAMS));
+        score += (BATCH_DELAY_SHARE * prefill_ms + CONCURRENCY_SCORE_MS) * f64::from(load.running);
+        score += self.cache_score(known, known - cached);
+        score += self.prefill_interference(state, load, prefill_ms);
         Estimate {
             score,
-            time_to_first: Duration::from_secs_f64(first / 1e3),
+            time_to_first: Duration::from_secs_f64(first_ms / 1e3),
             cached,
             unread,
             cached_anywhere: self.most_cached.sent,
-            source: source.map(|(at, _)| at),
+            source: source.map(|(holder, _)| holder),
         }
     }
 
-    /// What long reading costs streams that are late beside it: those that run, or the request itself.
-    fn interference(&self, state: &State, load: Load, reading: f64) -> f64 {
+    /// Returns the score of token gaps that long prefill causes in gap-sensitive streams.
+    ///
+    /// These are the request itself if it is one, or else the urgent streams at the endpoint.
+    fn prefill_interference(&self, state: &State, load: Load, prefill_ms: f64) -> f64 {
         let Some(gap) = self.max_token_gap else {
             return 0.0;
         };
-        let room = gap.as_secs_f64() * 1e3 * READING_PART;
-        let noticed = |reading: f64| {
-            let part = reading * self.slowdown(state) / room;
-            ((part - UNNOTICED_PART) / (1.0 - UNNOTICED_PART)).clamp(0.0, 1.0)
+        let budget_ms = gap.as_secs_f64() * 1e3 * PREFILL_GAP_SHARE;
+        let harm = |prefill_ms: f64| {
+            let share = prefill_ms * self.slowdown(state) / budget_ms;
+            ((share - HARMLESS_GAP_SHARE) / (1.0 - HARMLESS_GAP_SHARE)).clamp(0.0, 1.0)
         };
-        let before = f64::from(load.unread) / READ_PER_MS;
+        let queued_ms = f64::from(load.unread) / PREFILL_TOKENS_PER_MS;
         if self.gap_sensitive {
-            return NOISE_SCORE * noticed(before) + MEETING_SCORE * fraction(state.key);
+            return PREFILL_GAP_SCORE_MS * harm(queued_ms)
+                + CO_LOCATION_SCORE_MS * key_fraction(state.key);
         }
-        let streams = f64::from(load.urgent.min(MOST_INTRUDED));
-        INTRUSION_SCORE * streams * noticed(before + reading)
+        let streams = f64::from(load.urgent.min(MAX_GAP_STREAMS));
+        STREAM_GAP_SCORE_MS * streams * harm(queued_ms + prefill_ms)
     }
 
-    /// What is lost by reading again what some endpoint has read lately, and by moving it.
-    fn moving_score(&self, known: u32, fetched: u32) -> f64 {
-        let again = self.recent.saturating_sub(known);
-        (f64::from(again) * REREAD_SCORE_PER_K + f64::from(fetched) * FETCH_SCORE_PER_K) / 1e3
+    /// Returns the score of repeated prefill of recently used tokens and of fetching cached ones.
+    fn cache_score(&self, known: u32, fetched: u32) -> f64 {
+        let reread = self.recent.saturating_sub(known);
+        (f64::from(reread) * REREAD_SCORE_MS_PER_K + f64::from(fetched) * FETCH_SCORE_MS_PER_K)
+            / 1e3
     }
 
-    /// Returns the tokens of the prompt's beginning that an endpoint holds.
+    /// Returns the tokens of the prompt's beginning that were sent to an endpoint.
     fn cached_tokens(&self, key: Key) -> u32 {
-        let at = self.states.binary_search_by_key(&key, |each| each.key);
-        at.ok()
-            .and_then(|at| self.cached.get(at))
+        let index = self.states.binary_search_by_key(&key, |state| state.key);
+        index
+            .ok()
+            .and_then(|index| self.cached.get(index))
             .map_or(0, |held| held.sent)
     }
 
-    /// Returns the nearest endpoint that holds the most of the prompt, and how much it holds.
-    fn source(&self, state: &State, flight: &Flight, cached: u32) -> Option<(Key, u32)> {
-        if self.most_cached.read < cached + FETCH_TOKENS {
+    /// Returns the endpoint to fetch the prompt's beginning from, with its number of cached tokens.
+    ///
+    /// The most cached tokens decide, then a location in the same data centre, then the least load.
+    fn find_source(&self, state: &State, flight: &Flight, cached: u32) -> Option<(Key, u32)> {
+        if self.most_cached.read < cached + MIN_FETCH_TOKENS {
             return None;
         }
         let others = self.states.iter().zip(self.cached);
         others
             .filter(|(other, held)| {
-                held.read >= cached + FETCH_TOKENS && Self::may_fetch(state, other, flight)
+                held.read >= cached + MIN_FETCH_TOKENS && Self::may_fetch(state, other, flight)
             })
             .max_by_key(|(other, held)| {
                 let near = other.info.data_centre == state.info.data_centre;
@@ -382,22 +399,22 @@
         let bits = f64::from(tokens) * model.token_bytes * 8.0;
         let transfer = bits / (model.link_mbps.max(1.0) * 1e3);
         if other.info.data_centre == state.info.data_centre {
-            FETCH_MS + transfer
+            FETCH_SETUP_MS + transfer
         } else {
-            FETCH_MS + 2.0 * transfer + FAR_MS
+            FETCH_SETUP_MS + 2.0 * transfer + OTHER_REGION_RTT_MS
         }
     }
 }
 
-/// Returns a number from 0 to 1 that is the same for an endpoint at every node.
-fn fraction(key: Key) -> f64 {
-    /// Odd factor that puts keys into an order of their own.
-    const SHUFFLE: Key = 0x9e37_79b1;
-    f64::from(key.wrapping_mul(SHUFFLE)) / f64::from(Key::MAX)
+/// Returns a pseudo-random number from 0 to 1 for an endpoint, the same at every node.
+fn key_fraction(key: Key) -> f64 {
+    /// Odd factor that permutes the keys.
+    const MULTIPLIER: Key = 0x9e37_79b1;
+    f64::from(key.wrapping_mul(MULTIPLIER)) / f64::from(Key::MAX)
 }
 
-/// Returns whether a request is a stream with a short target.
+/// Returns whether a request has a prompt and a short target.
 #[must_use]
 pub fn is_urgent(flight: &Flight) -> bool {
-    flight.route.target <= URGENT && flight.prompt.tokens > 0
+    flight.route.target <= URGENT_TARGET && flight.prompt.tokens > 0
 }
--- a/crates/peridotdeck-core/src/dispatch/prefix.rs
+++ b/crates/peridotdeck-core/src/dispatch/prefix.rs
@@ -1,50 +1,50 @@
-//! Which endpoints have read which parts of prompts.
+//! Index of the prompt prefixes that endpoints are expected to have in their prefix caches.
 //!
-//! Engines keep what they have read, and a part need not be read again if all parts before it are
-//! there too. Nobody tells for certain what is kept; this index remembers what was sent where, by
-//! this node and by its peers, and what endpoints list when a node starts, and forgets what has not
-//! been used for a while.
+//! Engines cache what they have read, so a part of a prompt needs no prefill if the engine also has
+//! all parts before it. No engine reports reliably what it still caches. The index therefore
+//! records which prefixes this node and its peers have sent to which endpoint, and which prefixes
+//! endpoints list when a node starts. Prefixes that have not been used for a while are removed.
 
 use std::time::Duration;
 
 use super::{Key, Prefix};
 use crate::id::Time;
 
-/// Time after which a prefix that nobody used counts as displaced.
+/// Time without a use after which a prefix counts as evicted from the cache.
 const MAX_IDLE: Duration = Duration::from_secs(90);
 
-/// Time between two news of uses of the same part at the same endpoint.
+/// Shortest time between two announcements of the same prefix at the same endpoint.
 pub const REFRESH: Duration = Duration::from_secs(3);
 
-/// Time from a send until an endpoint has surely read the part, and another can fetch it.
+/// Time after which an endpoint has certainly read a prefix, so that another can fetch it.
 const READ_DELAY: Duration = Duration::from_millis(300);
 
-/// Entries that are remembered at most; the oldest tenth gives way.
+/// Most entries of the index; when it is full, the least recently used tenth is removed.
 const CAPACITY: usize = 16_384;
 
-/// An endpoint that has read a prefix.
+/// A prefix that an endpoint is expected to cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// What it has read.
+    /// Digest of the prefix.
     pub prefix: Prefix,
-    /// The endpoint.
+    /// Key of the endpoint.
     pub endpoint: Key,
-    /// When it was sent there first.
+    /// Time at which it was first sent to the endpoint.
     pub since: Time,
-    /// When it was last used.
+    /// Time at which it was last used.
     pub used: Time,
-    /// When peers were last told of its use.
+    /// Time at which its use was last announced to peers.
     pub announced: Option<Time>,
 }
 
-/// All holdings that are known, sorted by prefix and endpoint.
+/// All known holdings, sorted by prefix and endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     holdings: Vec<Holding>,
 }
 
 impl Index {
-    /// Notes a use.
+    /// Records a use of a prefix at an endpoint.
     pub fn record_use(&mut self, prefix: Prefix, endpoint: Key, now: Time) {
         match self.find(prefix, endpoint) {
             Ok(index) => self.holdings[index].used = now,
@@ -57,12 +57,12 @@
                     announced: None,
                 };
                 self.holdings.insert(index, holding);
-                self.bound();
+                self.evict_oldest();
             }
         }
     }
 
-    /// Returns whether peers should hear of a use, and notes that they do.
+    /// Returns whether a use is to be announced to peers, and if so marks it as announced.
     pub fn mark_announced_if_due(&mut self, prefix: Prefix, endpoint: Key, now: Time) -> bool {
         let Ok(index) = self.find(prefix, endpoint) else {
             return false;
@@ -77,26 +77,26 @@
         due
     }
 
-    /// Returns how long ago a prefix was first sent to an endpoint, if it was.
+    /// Returns the time since a prefix was first sent to an endpoint, if it is known there.
     #[must_use]
     pub fn age(&self, prefix: Prefix, endpoint: Key, now: Time) -> Option<Duration> {
         let index = self.find(prefix, endpoint).ok()?;
         Some(now.saturating_sub(self.holdings[index].since))
     }
 
-    /// Forgets one holding, which has proven wrong.
+    /// Removes one holding that has proved wrong.
     pub fn remove(&mut self, prefix: Prefix, endpoint: Key) {
         if let Ok(index) = self.find(prefix, endpoint) {
             self.holdings.remove(index);
         }
     }
 
-    /// Forgets everything about an endpoint that has lost its memory.
+    /// Removes all holdings of an endpoint that has lost its cache.
     pub fn remove_endpoint(&mut self, endpoint: Key) {
         self.holdings.retain(|holding| holding.endpoint != endpoint);
     }
 
-    /// Forgets what has not been used for long.
+    /// Removes prefixes that have not been used for the maximum idle time.
     pub fn expire(&mut self, now: Time) {
         self.holdings
             .retain(|holding| now.saturating_sub(holding.used) < MAX_IDLE);
@@ -114,7 +114,7 @@
         holders.map(|holding| holding.used).max()
     }
 
-    /// Returns whether a part that was sent this long ago can be fetched.
+    /// Returns whether a prefix that was first sent this long ago can be fetched.
     #[must_use]
     pub fn is_read(age: Duration) -> bool {
         age >= READ_DELAY
@@ -126,7 +126,7 @@
         self.holdings.len()
     }
 
-    /// Returns whether nothing is known.
+    /// Returns whether the index has no holdings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.holdings.is_empty()
@@ -139,10 +139,10 @@
             })
     }
 
-    fn bound(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.holdings.len() > CAPACITY {
-            let mut ages: Vec<Time> = self.holdings.iter().map(|holding| holding.used).collect();
-            let (_, oldest, _) = ages.select_nth_unstable(CAPACITY / 10);
+            let mut uses: Vec<Time> = self.holdings.iter().map(|holding| holding.used).collect();
+            let (_, oldest, _) = uses.select_nth_unstable(CAPACITY / 10);
             let oldest = *oldest;
             self.holdings.retain(|holding| holding.used > oldest);
         }
