--- a/crates/peridotdeck-core/src/dispatch/registry.rs
+++ b/crates/peridotdeck-core/src/dispatch/registry.rs
@@ -1,12 +1,12 @@
-//! The configuration and the endpoints in force, which never go back.
+//! The configuration and the endpoint list in force at a node, whose revisions never go back.
 //!
-//! A publisher reports facts with the revision as of which they hold; a peer hands over a whole
-//! [`Snapshot`]. Either is taken only if it is newer than what is in force. The two areas have
-//! revisions of their own, because they are watched separately.
+//! A publisher reports facts with the revision as of which they hold, and a peer sends a
+//! [`Snapshot`]. Each is applied only if it is newer than the state in force. The two areas have
+//! separate revisions, because they are watched separately.
 //!
-//! Two revisions count in each area: as of which the publisher was read last, which orders its
-//! reports, and that of the last change, by which nodes compare what they know. The first moves
-//! also while nothing changes.
+//! Each area has two revisions. The revision as of which the publisher was last read orders its
+//! reports, and advances even if nothing changes. The revision of the last change is what nodes
+//! compare with each other.
 
 mod endpoint;
 mod report;
@@ -21,14 +21,16 @@
 pub use report::{Area, Change, Fact, Report, Revision};
 pub use snapshot::Snapshot;
 
-/// Time after the last trouble with the publisher until which an endpoint that vanishes is still
-/// used: its entry may have lapsed with the publisher, and is back within two seconds of its return.
-const LAPSE: Duration = Duration::from_millis(2_600);
+/// Time after the publisher's last failure until which a missing endpoint is still used.
+///
+/// Its entry may have disappeared because the publisher was unavailable. In that case it is back
+/// within two seconds of the publisher's return.
+const MISSING_GRACE: Duration = Duration::from_millis(2_600);
 
-/// Changes of the endpoint list that are remembered for peers.
-const MOST_RECENT: usize = 1_024;
+/// Most changes of the endpoint list that are kept for incremental snapshots to peers.
+const MAX_RECENT_CHANGES: usize = 1_024;
 
-/// Everything that is in force at this node.
+/// Configuration, closed data centres and endpoints in force at this node.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     policy: Revision,
@@ -36,13 +38,13 @@
     config: Option<Arc<Config>>,
     closed: Vec<String>,
     endpoints: Vec<Endpoint>,
-    lapsing: Vec<(String, Time)>,
-    trouble: Option<Time>,
+    missing: Vec<(String, Time)>,
+    publisher_failure: Option<Time>,
     confirmed: [Time; 2],
-    /// What has changed lately in the endpoint list, by revision.
-    recent: Vec<(u64, String)>,
-    /// Revision after which `recent` is complete.
-    recent_from: u64,
+    /// Revisions and ids of the latest changes of the endpoint list.
+    recent_changes: Vec<(u64, String)>,
+    /// Revision after which `recent_changes` is complete.
+    recent_complete_after: u64,
 }
 
 impl Registry {
@@ -58,13 +60,13 @@
         &self.endpoints
     }
 
-    /// Returns the data centres that are taken out.
+    /// Returns the data centres that take no new requests, sorted by name.
     #[must_use]
     pub fn closed(&self) -> &[String] {
         &self.closed
     }
 
-    /// Returns how new an area is.
+    /// Returns the revisions of an area.
     #[must_use]
     pub fn revision(&self, area: Area) -> Revision {
         match area {
@@ -73,23 +75,23 @@
         }
     }
 
-    /// Notes that an area is known to be up to date, by the publisher or by a peer that knows no more.
+    /// Records that the publisher, or a peer at the same revision, confirms an area as up to date.
     pub fn confirm(&mut self, area: Area, now: Time) {
         self.confirmed[area as usize] = now;
     }
 
-    /// Returns the time since an area was known to be up to date.
+    /// Returns the time since an area was last confirmed as up to date.
     #[must_use]
     pub fn age(&self, area: Area, now: Time) -> Duration {
         now.saturating_sub(self.confirmed[area as usize])
     }
 
-    /// Notes that the publisher cannot be reached, or has failed.
+    /// Records that the publisher cannot be reached or has failed.
     pub fn note_publisher_failure(&mut self, now: Time) {
-        self.trouble = Some(now);
+        self.publisher_failure = Some(now);
     }
 
-    /// Returns what a peer that knows a revision of an area lacks.
+    /// Returns a snapshot of an area for a peer at the revision `known`.
     #[must_use]
     pub fn snapshot(&self, area: Area, known: u64, now: Time) -> Snapshot {
         match area {
@@ -98,65 +100,73 @@
                 config: self.config.clone(),
                 closed: self.closed.clone(),
             },
-            Area::Roster => self.roster_since(known, now),
+            Area::Roster => self.endpoints_since(known, now),
         }
     }
 
-    /// Most changes concern one endpoint of many, so only what has changed is told where it is known.
-    fn roster_since(&self, known: u64, now: Time) -> Snapshot {
-        let whole = known < self.recent_from;
+    /// Returns a snapshot of the endpoint list for a peer at the revision `known`.
+    ///
+    /// It is incremental if all changes since then are kept, as most changes concern a single
+    /// endpoint of many.
+    fn endpoints_since(&self, known: u64, now: Time) -> Snapshot {
+        let whole = known < self.recent_complete_after;
         let (endpoints, gone) = if whole {
             (self.endpoints.clone(), Vec::new())
         } else {
             self.changed_since(known)
         };
-        let lapsing = self.lapsing.iter();
+        let missing = self.missing.iter();
         Snapshot::Roster {
             revision: self.roster,
             whole,
             endpoints,
             gone,
-            lapsing: lapsing
+            lapsing: missing
                 .map(|(id, until)| (id.clone(), until.saturating_sub(now)))
                 .collect(),
         }
     }
 
-    /// Returns the endpoints that came or changed after a revision, and the names of those that left.
+    /// Returns the endpoints added or changed after a revision, and the ids of those removed.
     fn changed_since(&self, known: u64) -> (Vec<Endpoint>, Vec<String>) {
-        let news = self.recent.iter().filter(|(revision, _)| *revision > known);
-        let mut ids: Vec<&String> = news.map(|(_, id)| id).collect();
+        let later = self
+            .recent_changes
+            .iter()
+            .filter(|(revision, _)| *revision > known);
+        let mut ids: Vec<&String> = later.map(|(_, id)| id).collect();
         ids.sort_unstable();
         ids.dedup();
         let mut endpoints = Vec::new();
         let mut gone = Vec::new();
         for id in ids {
             match self.find(id) {
-                Ok(at) => endpoints.push(self.endpoints[at].clone()),
+                Ok(index) => endpoints.push(self.endpoints[index].clone()),
                 Err(_) => gone.push(id.clone()),
             }
         }
         (endpoints, gone)
     }
 
-    /// Remembers what a change of the endpoint list concerned; what came before the first is unknown.
-    fn remember(&mut self, change: &Change, first: bool) {
+    /// Keeps the ids that a change of the endpoint list concerned, for incremental snapshots.
+    ///
+    /// Changes up to the first known revision are not available.
+    fn record_change(&mut self, change: &Change, first: bool) {
         let revision = self.roster.changed;
         if first {
-            self.recent_from = revision;
+            self.recent_complete_after = revision;
             return;
         }
         let changed = change.updated.iter().chain(&change.removed);
         let ids = changed.map(|endpoint| (revision, endpoint.id.clone()));
-        self.recent.extend(ids);
-        let surplus = self.recent.len().saturating_sub(MOST_RECENT);
+        self.recent_changes.extend(ids);
+        let surplus = self.recent_changes.len().saturating_sub(MAX_RECENT_CHANGES);
         if surplus > 0 {
-            self.recent_from = self.recent[surplus - 1].0;
-            self.recent.drain(..surplus);
+            self.recent_complete_after = self.recent_changes[surplus - 1].0;
+            self.recent_changes.drain(..surplus);
         }
     }
 
-    /// Takes in a peer's snapshot if it is newer.
+    /// Applies a peer's snapshot if it is newer, and returns the changes.
     pub fn adopt(&mut self, snapshot: Snapshot, now: Time) -> Change {
         let (area, revision, whole, facts, lapsing) = snapshot.into_facts();
         let known = self.revision(area);
@@ -164,21 +174,21 @@
             return Change::default();
         }
         self.confirm(area, now);
-        // The peer has seen the publisher later than this node: its doubts count, not this one's.
-        let change = self.follow(area, facts, whole, None);
+        // The peer has read a later revision: its missing entries count, not this node's outage.
+        let change = self.apply_facts(area, facts, whole, None);
         for (id, left) in lapsing {
-            // An entry that this node has given up, or expects back no longer than so, stays as it is.
-            let doubted = self.lapsing.iter().any(|(each, _)| *each == id);
-            if !doubted && self.find(&id).is_ok() {
-                self.lapsing.push((id, now + left));
+            // An entry that this node has removed, or already expects back by then, stays as it is.
+            let is_missing = self.missing.iter().any(|(missing, _)| *missing == id);
+            if !is_missing && self.find(&id).is_ok() {
+                self.missing.push((id, now + left));
             }
         }
         let read = revision.read.max(known.read);
-        self.advance(area, Revision { read, ..revision }, &change);
+        self.set_revision(area, Revision { read, ..revision }, &change);
         change
     }
 
-    /// Takes in a report if it is newer.
+    /// Applies a publisher's report if it is newer, and returns the changes.
     pub fn apply(&mut self, report: Report, now: Time) -> Change {
         let known = self.revision(report.area);
         if report.revision >= known.read {
@@ -187,12 +197,12 @@
         if report.revision < known.read || (report.revision == known.read && !report.whole) {
             return Change::default();
         }
-        let doubted = self
-            .trouble
-            .map(|at| at + LAPSE)
+        let grace_until = self
+            .publisher_failure
+            .map(|failed| failed + MISSING_GRACE)
             .filter(|until| now < *until);
-        let change = self.follow(report.area, report.facts, report.whole, doubted);
-        // What has vanished from a whole report has changed at an unknown revision before it.
+        let change = self.apply_facts(report.area, report.facts, report.whole, grace_until);
+        // An entry missing from a whole report has changed at an unknown revision before it.
         let changed = if report.whole && change != Change::default() {
             report.revision
         } else {
@@ -202,56 +212,59 @@
             changed: changed.max(known.changed),
             read: report.revision,
         };
-        self.advance(report.area, revision, &change);
+        self.set_revision(report.area, revision, &change);
         change
     }
 
-    /// Sets the revision that a change has led to.
-    fn advance(&mut self, area: Area, revision: Revision, change: &Change) {
+    /// Sets the revisions of an area that a change has led to.
+    fn set_revision(&mut self, area: Area, revision: Revision, change: &Change) {
         match area {
             Area::Policy => self.policy = revision,
             Area::Roster => {
                 let first = self.roster.changed == 0;
                 self.roster = revision;
-                self.remember(change, first);
+                self.record_change(change, first);
             }
         }
     }
 
-    /// Takes in facts; an endpoint that has vanished may come back until `doubted`, if that is given.
-    fn follow(
+    /// Applies facts; with `grace_until`, a missing endpoint is kept until then.
+    fn apply_facts(
         &mut self,
         area: Area,
         facts: Vec<Fact>,
         whole: bool,
-        doubted: Option<Time>,
+        grace_until: Option<Time>,
     ) -> Change {
         let mut change = Change::default();
         match area {
-            Area::Policy => self.follow_policy(facts, whole, &mut change),
-            Area::Roster => self.follow_roster(facts, whole, doubted, &mut change),
+            Area::Policy => self.apply_policy(facts, whole, &mut change),
+            Area::Roster => self.apply_roster(facts, whole, grace_until, &mut change),
         }
         change
     }
 
-    fn follow_policy(&mut self, facts: Vec<Fact>, whole: bool, change: &mut Change) {
+    fn apply_policy(&mut self, facts: Vec<Fact>, whole: bool, change: &mut Change) {
         if whole {
-            let stays = |place: &String| facts.contains(&Fact::Closed(place.clone()));
-            let opened: Vec<String> = self.closed.extract_if(.., |place| !stays(place)).collect();
+            let stays = |data_centre: &String| facts.contains(&Fact::Closed(data_centre.clone()));
+            let opened: Vec<String> = self
+                .closed
+                .extract_if(.., |data_centre| !stays(data_centre))
+                .collect();
             change.opened.extend(opened);
         }
         for fact in facts {
             match fact {
-                Fact::Config(config) => self.follow_config(config, change),
-                Fact::Closed(place) => {
-                    if let Err(at) = self.closed.binary_search(&place) {
-                        self.closed.insert(at, place.clone());
-                        change.closed.push(place);
+                Fact::Config(config) => self.apply_config(config, change),
+                Fact::Closed(data_centre) => {
+                    if let Err(index) = self.closed.binary_search(&data_centre) {
+                        self.closed.insert(index, data_centre.clone());
+                        change.closed.push(data_centre);
                     }
                 }
-                Fact::Opened(place) => {
-                    if let Ok(at) = self.closed.binary_search(&place) {
-                        change.opened.push(self.closed.remove(at));
+                Fact::Opened(data_centre) => {
+                    if let Ok(index) = self.closed.binary_search(&data_centre) {
+                        change.opened.push(self.closed.remove(index));
                     }
                 }
                 Fact::Endpoint(_) | Fact::Gone(_) => {}
@@ -259,30 +272,30 @@
         }
     }
 
-    fn follow_config(&mut self, config: Config, change: &mut Change) {
-        let version = self.config.as_ref().map(|each| each.version);
+    fn apply_config(&mut self, config: Config, change: &mut Change) {
+        let version = self.config.as_ref().map(|config| config.version);
         if version.is_none_or(|version| version < config.version) {
             change.version = Some(config.version);
             self.config = Some(Arc::new(config.indexed()));
         }
     }
 
-    fn follow_roster(
+    fn apply_roster(
         &mut self,
         facts: Vec<Fact>,
         whole: bool,
-        doubted: Option<Time>,
+        grace_until: Option<Time>,
         change: &mut Change,
     ) {
         let mut gone: Vec<String> = Vec::new();
         if whole {
             let mut listed: Vec<&str> = facts.iter().filter_map(Fact::listed).collect();
             listed.sort_unstable();
-            let stays = |each: &Endpoint| listed.binary_search(&each.id.as_str()).is_ok();
-            let missing = self.endpoints.iter().filter(|each| !stays(each));
-            gone.extend(missing.map(|each| each.id.clone()));
+            let stays = |endpoint: &Endpoint| listed.binary_search(&endpoint.id.as_str()).is_ok();
+            let missing = self.endpoints.iter().filter(|endpoint| !stays(endpoint));
+            gone.extend(missing.map(|endpoint| endpoint.id.clone()));
         }
-        for fact in newest(facts) {
+        for fact in latest_by_endpoint(facts) {
             match fact {
                 Fact::Endpoint(endpoint) => self.update(endpoint, change),
                 Fact::Gone(id) => gone.push(id),
@@ -290,52 +303,55 @@
             }
         }
         for id in gone {
-            self.lose(&id, doubted, change);
+            self.remove(&id, grace_until, change);
         }
     }
 
     fn update(&mut self, endpoint: Endpoint, change: &mut Change) {
-        let known = self.lapsing.len();
-        self.lapsing.retain(|(id, _)| *id != endpoint.id);
-        let is_back = self.lapsing.len() < known;
+        let known = self.missing.len();
+        self.missing.retain(|(id, _)| *id != endpoint.id);
+        let is_back = self.missing.len() < known;
         match self.find(&endpoint.id) {
-            // Peers must hear that an entry is back, even if nothing else has changed.
-            Ok(at) if self.endpoints[at] == endpoint && !is_back => {}
-            Ok(at) => {
-                let old = std::mem::replace(&mut self.endpoints[at], endpoint.clone());
+            // Peers need to know that an entry is back, even if nothing else has changed.
+            Ok(index) if self.endpoints[index] == endpoint && !is_back => {}
+            Ok(index) => {
+                let old = std::mem::replace(&mut self.endpoints[index], endpoint.clone());
                 if old.born != endpoint.born {
                     change.removed.push(old);
                 }
                 change.updated.push(endpoint);
             }
-            Err(at) => {
-                self.endpoints.insert(at, endpoint.clone());
+            Err(index) => {
+                self.endpoints.insert(index, endpoint.clone());
                 change.updated.push(endpoint);
             }
         }
     }
 
-    /// An entry that vanishes means departure, except around an outage of the publisher, when it
-    /// may have lapsed for want of a heartbeat.
-    fn lose(&mut self, id: &str, doubted: Option<Time>, change: &mut Change) {
-        let Ok(at) = self.find(id) else { return };
-        match doubted {
-            Some(until) if !self.endpoints[at].draining => {
-                if !self.lapsing.iter().any(|(each, _)| each == id) {
-                    self.lapsing.push((id.to_owned(), until));
+    /// Removes an endpoint, or keeps it as missing until `grace_until`, if that is given.
+    ///
+    /// A missing entry normally means that the endpoint has left. Around an outage of the
+    /// publisher, the entry may have expired because no heartbeat reached the publisher. A draining
+    /// endpoint is always removed.
+    fn remove(&mut self, id: &str, grace_until: Option<Time>, change: &mut Change) {
+        let Ok(index) = self.find(id) else { return };
+        match grace_until {
+            Some(until) if !self.endpoints[index].draining => {
+                if !self.missing.iter().any(|(missing, _)| missing == id) {
+                    self.missing.push((id.to_owned(), until));
                 }
             }
             _ => {
-                change.removed.push(self.endpoints.remove(at));
-                self.lapsing.retain(|(each, _)| each != id);
+                change.removed.push(self.endpoints.remove(index));
+                self.missing.retain(|(missing, _)| missing != id);
             }
         }
     }
 
-    /// Removes entries whose time to come back is over.
+    /// Removes missing endpoints whose grace time is over, and returns them.
     pub fn expire(&mut self, now: Time) -> Vec<Endpoint> {
         let due: Vec<(String, Time)> = self
-            .lapsing
+            .missing
             .extract_if(.., |(_, until)| *until <= now)
             .collect();
         let overdue = |endpoint: &mut Endpoint| due.iter().any(|(id, _)| *id == endpoint.id);
@@ -343,27 +359,28 @@
             removed: self.endpoints.extract_if(.., overdue).collect(),
             ..Change::default()
         };
-        self.remember(&change, false);
+        self.record_change(&change, false);
         change.removed
     }
 
     fn find(&self, id: &str) -> Result<usize, usize> {
         self.endpoints
-            .binary_search_by(|each| each.id.as_str().cmp(id))
+            .binary_search_by(|endpoint| endpoint.id.as_str().cmp(id))
     }
 }
 
-/// Keeps the last fact about each endpoint: a watch that resumes late tells how an entry came before
-/// it tells that the entry left.
-fn newest(facts: Vec<Fact>) -> Vec<Fact> {
+/// Keeps only the last fact about each endpoint.
+///
+/// A watch that resumes late reports first that an entry was added and then that it was removed.
+fn latest_by_endpoint(facts: Vec<Fact>) -> Vec<Fact> {
     let mut last: Vec<Fact> = Vec::with_capacity(facts.len());
     let mut seen: Vec<String> = Vec::new();
     for fact in facts.into_iter().rev() {
         let Some(id) = fact.endpoint().map(str::to_owned) else {
             continue;
         };
-        if let Err(at) = seen.binary_search(&id) {
-            seen.insert(at, id);
+        if let Err(index) = seen.binary_search(&id) {
+            seen.insert(index, id);
             last.push(fact);
         }
     }
--- a/crates/peridotdeck-core/src/dispatch/registry/endpoint.rs
+++ b/crates/peridotdeck-core/src/dispatch/registry/endpoint.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself.
+//! Entry of an endpoint in the published endpoint list.
 
 use std::{net::SocketAddrV4, time::Duration};
 
@@ -6,30 +6,30 @@
 
 use crate::dispatch::{Key, key};
 
-/// Where an endpoint is and how it says it is.
+/// Location and state of an endpoint, as it announces them itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Name that it answers to.
+    /// Unique name of the endpoint.
     pub id: String,
-    /// Start of its process in Unix milliseconds.
+    /// Start time of the process in Unix milliseconds.
     pub born: u64,
-    /// Service that it belongs to.
+    /// Name of the service that the endpoint belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddrV4,
-    /// Its data centre.
+    /// Name of the endpoint's data centre.
     #[serde(rename = "place")]
     pub data_centre: String,
-    /// Requests that it runs at once.
+    /// Most requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether the endpoint finishes its requests before it leaves.
     pub draining: bool,
-    /// How much longer it says that it is cold.
+    /// Time for which the endpoint announces that it is still cold.
     pub cold: Duration,
 }
 
 impl Endpoint {
-    /// Returns the digest of id and start.
+    /// Returns the digest of the id and the start time.
     #[must_use]
     pub fn key(&self) -> Key {
         key(&self.id, self.born)
--- a/crates/peridotdeck-core/src/dispatch/registry/report.rs
+++ b/crates/peridotdeck-core/src/dispatch/registry/report.rs
@@ -1,4 +1,4 @@
-//! What a publisher reports, and what that changes.
+//! Reports of a publisher and the changes that they lead to.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, IntoStaticStr};
@@ -6,33 +6,33 @@
 use super::Endpoint;
 use crate::dispatch::config::Config;
 
-/// What is published together, with one revision.
+/// Kind of published data, with a revision of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Area {
-    /// The operators' configuration and the data centres that they have taken out.
+    /// The operators' configuration and the data centres that they have closed.
     Policy,
     /// The endpoints that have announced themselves.
     Roster,
 }
 
-/// One thing that a publisher says.
+/// One published fact.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fact {
-    /// A configuration.
+    /// A published configuration.
     Config(Config),
-    /// A data centre takes no new work.
+    /// A data centre takes no new requests.
     Closed(String),
-    /// A data centre takes work again.
+    /// A data centre takes new requests again.
     Opened(String),
-    /// An endpoint, new or changed.
+    /// An endpoint was added or changed.
     Endpoint(Endpoint),
     /// An endpoint is no longer listed, or its entry cannot be read.
     Gone(String),
 }
 
 impl Fact {
-    /// Returns the name of the endpoint that is listed, if the fact is about one.
+    /// Returns the id of the endpoint that the fact lists, if any.
     pub(super) fn listed(&self) -> Option<&str> {
         match self {
             Self::Endpoint(endpoint) => Some(&endpoint.id),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the name of the endpoint that the fact is about, if it is about one.
+    /// Returns the id of the endpoint that the fact lists or removes, if any.
     pub(super) fn endpoint(&self) -> Option<&str> {
         match self {
             Self::Endpoint(endpoint) => Some(&endpoint.id),
@@ -50,41 +50,41 @@
     }
 }
 
-/// How new an area is.
+/// Revisions of an area at a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// Of the last change.
+    /// Revision of the last change.
     pub changed: u64,
-    /// As of which the publisher was read last.
+    /// Revision as of which the publisher was last read.
     pub read: u64,
 }
 
-/// What a publisher reports.
+/// Facts of one area, as a publisher reports them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// What the facts belong to.
+    /// Area that the facts belong to.
     pub area: Area,
     /// Revision as of which the facts hold.
     pub revision: u64,
     /// Revision of the newest fact.
     pub newest: u64,
-    /// Whether the facts are all there is, or only what has changed.
+    /// Whether the facts are the complete state of the area, or only changes.
     pub whole: bool,
-    /// The facts.
+    /// Reported facts, oldest first.
     pub facts: Vec<Fact>,
 }
 
-/// What has changed by a report or a snapshot.
+/// Changes that a report or a snapshot has led to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Version of a configuration that came into force.
+    /// Version of the configuration that has come into force, if one has.
     pub version: Option<u64>,
-    /// Data centres taken out.
+    /// Data centres that were closed.
     pub closed: Vec<String>,
-    /// Data centres taken back.
+    /// Data centres that were opened again.
     pub opened: Vec<String>,
-    /// Endpoints that came or changed.
+    /// Endpoints that were added or changed.
     pub updated: Vec<Endpoint>,
-    /// Endpoints that left the list.
+    /// Endpoints that were removed, also if a restarted process replaces them.
     pub removed: Vec<Endpoint>,
 }
--- a/crates/peridotdeck-core/src/dispatch/registry/snapshot.rs
+++ b/crates/peridotdeck-core/src/dispatch/registry/snapshot.rs
@@ -1,4 +1,4 @@
-//! What one node hands to another.
+//! State of an area, as one node sends it to another.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,36 +7,36 @@
 use super::{Area, Endpoint, Fact, Revision};
 use crate::dispatch::config::Config;
 
-/// The whole of one area, as one node hands it to another.
+/// State of one area, or the changes that a peer lacks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Snapshot {
-    /// Configuration and data centres taken out.
+    /// Configuration and closed data centres.
     Policy {
         /// Revisions of the area.
         revision: Revision,
-        /// Configuration, if one was ever published.
+        /// Configuration in force, if any.
         config: Option<Arc<Config>>,
-        /// Data centres taken out.
+        /// Names of the closed data centres.
         closed: Vec<String>,
     },
-    /// All endpoints, or what has changed since a revision that the peer knows.
+    /// All endpoints, or the changes since the revision that the peer knows.
     Roster {
         /// Revisions of the area.
         revision: Revision,
-        /// Whether the endpoints are all there are.
+        /// Whether the endpoints are the complete list.
         whole: bool,
-        /// The endpoints.
+        /// All endpoints, or those that were added or changed.
         endpoints: Vec<Endpoint>,
-        /// Those that have left, where not all are told.
+        /// Ids of removed endpoints, if the list is incremental.
         gone: Vec<String>,
-        /// Those that have vanished and may come back, with the time that they have left for it.
+        /// Ids of missing endpoints that may come back, with the time left until they are removed.
         lapsing: Vec<(String, Duration)>,
     },
 }
 
 impl Snapshot {
-    /// Returns the facts with the area, how new they are, whether they are all there is, and which
-    /// endpoints may come back within what time.
+    /// Returns the area, its revisions, whether the facts are complete, the facts, and the missing
+    /// endpoints with the time left until they are removed.
     pub(super) fn into_facts(self) -> (Area, Revision, bool, Vec<Fact>, Vec<(String, Duration)>) {
         match self {
             Self::Policy {
