--- a/crates/peridotdeck-core/src/dispatch/attempt.rs
+++ b/crates/peridotdeck-core/src/dispatch/attempt.rs
@@ -7,7 +7,7 @@
 use super::{
     Key,
     endpoint::Load,
-    placement::{Bar, Estimate},
+    placement::{Estimate, Exclusion},
     refusal::Refusal,
 };
 use crate::{Verdict, id::Time};
@@ -20,7 +20,7 @@
     /// Decide again after a delay.
     Wait(Delay),
     /// Refuse the request, with the reasons that excluded endpoints.
-    Refuse(Refusal, Vec<Bar>),
+    Refuse(Refusal, Vec<Exclusion>),
 }
 
 /// Reason why a request waits at its node.
--- a/crates/peridotdeck-core/src/dispatch/dispatcher.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher.rs
@@ -177,7 +177,7 @@
         self.registry.config().is_none()
             || self
                 .fleet
-                .is_among(WATCHERS_PER_DATA_CENTRE, WATCHER_RANKING_KEY, now)
+                .is_among_first(WATCHERS_PER_DATA_CENTRE, WATCHER_RANKING_KEY, now)
     }
 
     /// Starts to leave the fleet.
@@ -192,7 +192,7 @@
 
     /// Records that the publisher could not be read.
     pub fn note_publisher_failure(&mut self, now: Time) {
-        self.registry.note_trouble(now);
+        self.registry.note_publisher_failure(now);
     }
 
     /// Applies a report of the publisher and returns what it changed.
@@ -212,7 +212,7 @@
     /// Updates the endpoint states after a change of the registry.
     fn apply_change(&mut self, change: &Change, now: Time) {
         if *change != Change::default() {
-            self.fleet.touch();
+            self.fleet.mark_changed();
         }
         let query_caches = self.states.is_empty() && self.options.is_restart;
         for endpoint in &change.removed {
@@ -223,9 +223,9 @@
             match self.find(key) {
                 Ok(at) => self.states[at].update(endpoint.clone(), now),
                 Err(at) => {
-                    let region = region(&self.options.regions, &endpoint.place);
+                    let region = region(&self.options.regions, &endpoint.data_centre);
                     let mut state = State::new(endpoint.clone(), region, now);
-                    state.foreign = self.fleet.load(key);
+                    state.peer_load = self.fleet.load_at(key);
                     if query_caches {
                         let address = endpoint.address;
                         self.cache_queries.push(CacheQuery { key, address });
@@ -241,7 +241,7 @@
         if let Ok(at) = self.find(key) {
             self.states.remove(at);
         }
-        self.prefixes.clear(key);
+        self.prefixes.remove_endpoint(key);
     }
 
     fn find(&self, key: Key) -> Result<usize, usize> {
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/maintenance.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/maintenance.rs
@@ -7,7 +7,7 @@
     dispatch::{
         Key, Prefix,
         due::{CacheQuery, Due, Probe},
-        fleet::Heard,
+        fleet::Changes,
     },
     id::Time,
 };
@@ -25,7 +25,7 @@
     /// Performs the periodic work and returns the actions that are due.
     pub fn tick(&mut self, now: Time) -> Due {
         let mut due = Due {
-            removed: self.registry.tick(now),
+            removed: self.registry.expire(now),
             ..Due::default()
         };
         for endpoint in &due.removed {
@@ -33,11 +33,11 @@
         }
         let (removed, silent) = self.fleet.expire(now);
         due.silent = silent;
-        let heard = Heard {
+        let changes = Changes {
             removed,
-            ..Heard::default()
+            ..Changes::default()
         };
-        self.apply_peer_loads(&heard);
+        self.apply_peer_loads(&changes);
         if self.fleet.is_due(now) {
             let status = self.status(now);
             due.heartbeats = self.fleet.beats(&status, now);
@@ -73,7 +73,7 @@
                 let service = config.service(&state.info.service);
                 service.is_some_and(|service| service.model.is_some())
             })
-            .map(|(query, state)| (state.info.place != self.options.data_centre, *query))
+            .map(|(query, state)| (state.info.data_centre != self.options.data_centre, *query))
             .collect();
         due.sort_by_key(|(is_remote, _)| *is_remote);
         due.truncate(MAX_CACHE_QUERIES);
@@ -99,7 +99,7 @@
     pub fn record_cached(&mut self, key: Key, parts: &[Prefix], now: Time) {
         if self.find(key).is_ok() {
             for part in parts {
-                self.prefixes.note(*part, key, now);
+                self.prefixes.record_use(*part, key, now);
             }
         }
     }
@@ -112,20 +112,20 @@
             return;
         };
         if accepted {
-            if state.revive() {
+            if state.record_reachable() {
                 self.treat_as_cold(key, now);
             }
             self.suspects.retain(|suspect| suspect.key != key);
             return;
         }
-        state.fail(now);
-        self.prefixes.clear(key);
+        state.record_unreachable(now);
+        self.prefixes.remove_endpoint(key);
         let crashed = |suspect: &mut Suspect| suspect.key == key;
         let suspects: Vec<Suspect> = self.suspects.extract_if(.., crashed).collect();
         for suspect in suspects {
             if now.saturating_sub(suspect.broken_at) < CRASH_WINDOW {
                 self.crashes.record(suspect.fingerprint, key, now);
-                self.fleet.touch();
+                self.fleet.mark_changed();
             }
         }
     }
@@ -143,7 +143,7 @@
         if let Some(service) = config.service(&state.info.service)
             && service.cold_rate > 0.0
         {
-            state.turn_cold(now + service.cold);
+            state.mark_cold(now + service.cold);
         }
     }
 
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/outcomes.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/outcomes.rs
@@ -41,19 +41,19 @@
         attempt.load.unread = 0;
         let expected = attempt.expected;
         if let Some(state) = self.state_mut(attempt.key) {
-            state.own.subtract(unread);
-            state.learn(expected, observed);
+            state.own_load.subtract(unread);
+            state.record_answer_time(expected, observed);
         }
         if is_plain {
             let observed = observed.as_secs_f64() * 1e3;
             self.plain_answer_ms.add_sample(&flight.service, observed);
         }
-        self.fleet.touch();
+        self.fleet.mark_changed();
     }
 
     /// Ends an attempt and updates load, health and expectations from its outcome.
     pub fn finish(&mut self, attempt: &Attempt, end: End, flight: &Flight, now: Time) {
-        self.fleet.touch();
+        self.fleet.mark_changed();
         if end == End::Finished {
             let whole = now.saturating_sub(attempt.sent).as_secs_f64() * 1e3;
             self.whole_answer_ms.add_sample(&flight.service, whole);
@@ -67,25 +67,25 @@
         };
         let key = attempt.key;
         if let Some(state) = self.state_mut(key) {
-            state.own.subtract(attempt.load);
+            state.own_load.subtract(attempt.load);
             match end {
-                End::Finished => state.health.note(true, 1.0, now),
+                End::Finished => state.health.record(true, 1.0, now),
                 End::Failed => state
                     .health
-                    .note(false, (1.0 - usual_failure_rate).max(0.0), now),
-                End::Rejected => state.health.note(false, REJECTION_WEIGHT, now),
-                End::Broken | End::Garbled | End::Silent => state.health.note(false, 1.0, now),
-                End::TimedOut if attempt.load.unread > 0 => state.health.note(false, 1.0, now),
+                    .record(false, (1.0 - usual_failure_rate).max(0.0), now),
+                End::Rejected => state.health.record(false, REJECTION_WEIGHT, now),
+                End::Broken | End::Garbled | End::Silent => state.health.record(false, 1.0, now),
+                End::TimedOut if attempt.load.unread > 0 => state.health.record(false, 1.0, now),
                 _ => {}
             }
             match end {
                 End::Broken | End::Silent => state.suspect(now),
-                End::Unreachable => state.fail(now),
+                End::Unreachable => state.record_unreachable(now),
                 _ => {}
             }
         }
         if matches!(end, End::Unreachable | End::Misdirected) {
-            self.prefixes.clear(key);
+            self.prefixes.remove_endpoint(key);
         }
         match end {
             End::Broken => self.suspects.push(Suspect {
@@ -102,7 +102,7 @@
     ///
     /// If so, a retry is taken from the service's budget.
     pub fn try_hedge(&mut self, flight: &Flight, now: Time) -> bool {
-        let nodes = self.fleet.size(self.options.regions.len(), now);
+        let nodes = self.fleet.recent_size(self.options.regions.len(), now);
         flight.may_run_after(flight.runs + 1)
             && flight.time_left(now) > MIN_ATTEMPT_TIME
             && self
@@ -114,7 +114,7 @@
 
     /// Returns the next step after an attempt without a complete answer.
     pub fn next_step(&mut self, flight: &mut Flight, end: End, now: Time) -> Next {
-        let nodes = self.fleet.size(self.options.regions.len(), now);
+        let nodes = self.fleet.recent_size(self.options.regions.len(), now);
         match end.verdict() {
             Verdict::NotRun => {
                 let enough_time = flight.time_left(now) > MIN_ATTEMPT_TIME;
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
@@ -10,7 +10,7 @@
         Node, data_centre,
         due::SnapshotRequest,
         endpoint::Load,
-        fleet::{Heard, Status},
+        fleet::{Changes, Status},
         registry::Area,
     },
     id::Time,
@@ -33,23 +33,23 @@
     ///
     /// Returns the reply that the peer requests, if any, and whether the peer is new.
     pub fn receive(&mut self, beat: &beat::Beat, now: Time) -> (Option<beat::Beat>, bool) {
-        let heard = self.fleet.hear(beat, now);
-        self.apply_peer_loads(&heard);
+        let changes = self.fleet.receive(beat, now);
+        self.apply_peer_loads(&changes);
         let is_local = beat.place == data_centre(&self.options.data_centre);
         for holding in &beat.holdings {
             if self.find(holding.endpoint).is_err() {
                 continue;
             }
             let (prefix, endpoint) = (holding.prefix, holding.endpoint);
-            self.prefixes.note(prefix, endpoint, now);
-            if !is_local && self.prefixes.is_news(prefix, endpoint, now) {
-                self.fleet.tell(prefix, endpoint, false, now);
+            self.prefixes.record_use(prefix, endpoint, now);
+            if !is_local && self.prefixes.mark_announced_if_due(prefix, endpoint, now) {
+                self.fleet.announce_prefix(prefix, endpoint, false, now);
             }
         }
         for health in &beat.health {
             if let Some(state) = self.state_mut(health.endpoint) {
                 let (good, bad) = (f64::from(health.good) / 8.0, f64::from(health.bad) / 8.0);
-                state.told.set(good, bad, now);
+                state.peer_health.set(good, bad, now);
             }
         }
         for strike in &beat.strikes {
@@ -58,23 +58,23 @@
         }
         self.note_newer_revisions(beat, now);
         let node = Node::from(beat.node);
-        let answer = heard.answer.then(|| {
+        let answer = changes.reply_requested.then(|| {
             let status = self.status(now);
-            self.fleet.answer(node, &status, now)
+            self.fleet.reply(node, &status, now)
         });
-        (answer, heard.joined)
+        (answer, changes.joined)
     }
 
     /// Applies changes of the load that peers have at endpoints.
-    pub(super) fn apply_peer_loads(&mut self, heard: &Heard) {
-        for (key, load) in &heard.removed {
+    pub(super) fn apply_peer_loads(&mut self, changes: &Changes) {
+        for (key, load) in &changes.removed {
             if let Some(state) = self.state_mut(*key) {
-                state.foreign.subtract(*load);
+                state.peer_load.subtract(*load);
             }
         }
-        for (key, load) in &heard.added {
+        for (key, load) in &changes.added {
             if let Some(state) = self.state_mut(*key) {
-                state.foreign.add(*load);
+                state.peer_load.add(*load);
             }
         }
     }
@@ -119,7 +119,7 @@
         let busy = self
             .states
             .iter()
-            .filter(|state| state.own != Load::default());
+            .filter(|state| state.own_load != Load::default());
         let eighths = |weight: f64| (weight * 8.0).round() as u32;
         let mut health: Vec<beat::Health> = self
             .states
@@ -134,16 +134,16 @@
             .collect();
         health.sort_unstable_by_key(|health| std::cmp::Reverse(health.bad));
         health.truncate(MAX_HEALTH_ENTRIES);
-        let strikes = self.crashes.recent(now).take(MAX_CRASHES);
+        let crashes = self.crashes.recent(now).take(MAX_CRASHES);
         Status {
             policy: self.registry.revision(Area::Policy).changed,
             roster: self.registry.revision(Area::Roster).changed,
-            loads: busy.map(|state| (state.key, state.own)).collect(),
+            loads: busy.map(|state| (state.key, state.own_load)).collect(),
             health,
-            strikes: strikes
-                .map(|strike| beat::Strike {
-                    endpoint: strike.endpoint,
-                    fingerprint: strike.fingerprint,
+            strikes: crashes
+                .map(|crash| beat::Strike {
+                    endpoint: crash.endpoint,
+                    fingerprint: crash.fingerprint,
                 })
                 .collect(),
         }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
@@ -16,7 +16,7 @@
         crashes, data_centre,
         endpoint::{Load, State},
         flight::{DecodedRequest, Flight},
-        placement::{Bar, Estimate, Held, View, is_urgent},
+        placement::{CachedTokens, Estimate, Exclusion, View, is_urgent},
         prefix::{Index, REFRESH},
         refusal::{Cause, Refusal},
         registry::Area,
@@ -119,7 +119,7 @@
         };
         let unknown = Service::default();
         let service = config.service(&flight.service).unwrap_or(&unknown);
-        let (ranked, mut bars) = self.rank(flight, service, now);
+        let (ranked, mut exclusions) = self.rank(flight, service, now);
         if let Some((key, estimate)) = ranked.first()
             && let Some(delay) = self.defer(flight, service, *key, estimate, now)
         {
@@ -128,49 +128,53 @@
         for (key, estimate) in ranked {
             match self.admit_cold(key, service, now) {
                 Ok(()) => return Placement::Send(self.assign(key, estimate, flight, service, now)),
-                Err(bar) => bars.push(bar),
+                Err(exclusion) => exclusions.push(exclusion),
             }
         }
-        self.wait_or_refuse(flight, bars, now)
+        self.wait_or_refuse(flight, exclusions, now)
     }
 
     /// Checks whether an endpoint is eligible for a request, without regard to cold start.
     ///
     /// # Errors
     /// Returns the first reason that excludes the endpoint.
-    pub(super) fn admits(&self, state: &State, flight: &Flight) -> Result<(), Bar> {
+    pub(super) fn admits(&self, state: &State, flight: &Flight) -> Result<(), Exclusion> {
         let info = &state.info;
-        let closed = self.registry.closed().binary_search(&info.place).is_ok();
-        let bars = [
-            (info.service != flight.service, Bar::Service),
-            (!flight.may_run_in(&state.region), Bar::Region),
-            (closed, Bar::Closed),
-            (info.draining, Bar::Draining),
-            (flight.tried.contains(&state.key), Bar::Tried),
-            (state.is_resting(), Bar::Resting),
+        let closed = self
+            .registry
+            .closed()
+            .binary_search(&info.data_centre)
+            .is_ok();
+        let exclusions = [
+            (info.service != flight.service, Exclusion::Service),
+            (!flight.may_run_in(&state.region), Exclusion::Region),
+            (closed, Exclusion::Closed),
+            (info.draining, Exclusion::Draining),
+            (flight.tried.contains(&state.key), Exclusion::Tried),
+            (state.is_in_backoff(), Exclusion::Resting),
         ];
-        match bars.iter().find(|(barred, _)| *barred) {
-            Some((_, bar)) => Err(*bar),
+        match exclusions.iter().find(|(excluded, _)| *excluded) {
+            Some((_, exclusion)) => Err(*exclusion),
             None => Ok(()),
         }
     }
 
     /// Returns the cached tokens of a prompt at each endpoint.
-    fn cached_tokens(&self, flight: &Flight, now: Time) -> Vec<Held> {
-        let held = |state: &State| {
-            let mut held = Held::default();
+    fn cached_tokens(&self, flight: &Flight, now: Time) -> Vec<CachedTokens> {
+        let cached = |state: &State| {
+            let mut cached = CachedTokens::default();
             for part in &flight.prompt.shared {
                 let Some(age) = self.prefixes.age(part.prefix, state.key, now) else {
                     break;
                 };
-                if held.read == held.sent && Index::is_read(age) {
-                    held.read = part.tokens;
+                if cached.read == cached.sent && Index::is_read(age) {
+                    cached.read = part.tokens;
                 }
-                held.sent = part.tokens;
+                cached.sent = part.tokens;
             }
-            held
+            cached
         };
-        self.states.iter().map(held).collect()
+        self.states.iter().map(cached).collect()
     }
 
     /// Returns the length of a prompt's longest prefix that any endpoint used recently, in tokens.
@@ -183,7 +187,7 @@
 
     /// Returns the median slowdown of a service's endpoints; 1.0 if it has none.
     fn median_slowdown(&self, service: &str) -> f64 {
-        let mut slowdowns: Vec<f64> = self.endpoints_of(service).map(State::pace).collect();
+        let mut slowdowns: Vec<f64> = self.endpoints_of(service).map(State::slowdown).collect();
         slowdowns.sort_by(f64::total_cmp);
         slowdowns.get(slowdowns.len() / 2).copied().unwrap_or(1.0)
     }
@@ -201,21 +205,24 @@
         flight: &Flight,
         service: &Service,
         now: Time,
-    ) -> Vec<(&State, Result<Estimate, Bar>)> {
-        let held = self.cached_tokens(flight, now);
+    ) -> Vec<(&State, Result<Estimate, Exclusion>)> {
+        let cached = self.cached_tokens(flight, now);
         let name = &flight.service;
         let view = View {
             states: &self.states,
-            held: &held,
-            most: held.iter().copied().fold(Held::default(), Held::max),
+            cached: &cached,
+            most_cached: cached
+                .iter()
+                .copied()
+                .fold(CachedTokens::default(), CachedTokens::max),
             recent: self.recent_tokens(flight, now),
-            gap: self.shortest_sensitive_gap(name),
-            sensitive: self.is_sensitive(&flight.route, name),
-            place: &self.options.data_centre,
+            max_token_gap: self.shortest_sensitive_gap(name),
+            gap_sensitive: self.is_sensitive(&flight.route, name),
+            data_centre: &self.options.data_centre,
             region: &self.region,
             plain_ms: self.plain_answer_ms.value(name),
-            whole_ms: self.whole_answer_ms.value(name),
-            usual_pace: self.median_slowdown(name),
+            whole_answer_ms: self.whole_answer_ms.value(name),
+            median_slowdown: self.median_slowdown(name),
             now,
         };
         let estimate = |state| {
@@ -233,20 +240,20 @@
         flight: &Flight,
         service: &Service,
         now: Time,
-    ) -> (Vec<(Key, Estimate)>, Vec<Bar>) {
+    ) -> (Vec<(Key, Estimate)>, Vec<Exclusion>) {
         let mut ranked = Vec::new();
-        let mut bars = Vec::new();
+        let mut exclusions = Vec::new();
         for (state, estimate) in self.estimates(flight, service, now) {
             match estimate {
                 Ok(estimate) => ranked.push((state.key, estimate)),
-                Err(bar) => bars.push(bar),
+                Err(exclusion) => exclusions.push(exclusion),
             }
         }
         for (_, estimate) in &mut ranked {
             estimate.score += MAX_SCORE_JITTER * self.rng.random::<f64>();
         }
         ranked.sort_by(|(_, one), (_, other)| one.score.total_cmp(&other.score));
-        (ranked, bars)
+        (ranked, exclusions)
     }
 
     /// Returns the estimate, or the reason for exclusion, of each endpoint for a route.
@@ -259,7 +266,7 @@
         route: &str,
         tokens: u32,
         now: Time,
-    ) -> Option<Vec<(String, Result<Estimate, Bar>)>> {
+    ) -> Option<Vec<(String, Result<Estimate, Exclusion>)>> {
         let config = self.registry.config()?;
         let route = config.routes.iter().find(|known| known.name == route)?;
         let service = route.split.first()?.service.clone();
@@ -282,13 +289,13 @@
     ///
     /// # Errors
     /// Returns the reason if the endpoint is cold and this node may not send to it now.
-    fn admit_cold(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Bar> {
+    fn admit_cold(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Exclusion> {
         /// Fraction of the rate that all senders together may use.
         const USED_FRACTION: f64 = 0.6;
         /// Number of senders to an endpoint with a rate near 0, and the increase for each request
         /// per second.
         const SENDER_COUNT: (f64, f64) = (2.5, 0.15);
-        let index = self.find(key).map_err(|_| Bar::Resting)?;
+        let index = self.find(key).map_err(|_| Exclusion::Resting)?;
         let state = &self.states[index];
         let rate = service.cold_rate;
         if rate <= 0.0 || !state.is_cold(now) {
@@ -296,16 +303,16 @@
         }
         let here = data_centre(&self.options.data_centre);
         let senders = (SENDER_COUNT.0 + SENDER_COUNT.1 * rate) as usize;
-        if state.info.place != self.options.data_centre
+        if state.info.data_centre != self.options.data_centre
             || self.fleet.is_isolated(now)
-            || !self.fleet.is_among(senders, key, now)
+            || !self.fleet.is_among_first(senders, key, now)
         {
-            return Err(Bar::ColdElsewhere);
+            return Err(Exclusion::ColdElsewhere);
         }
-        let senders = senders.min(self.fleet.live(here, now).len()).max(1);
+        let senders = senders.min(self.fleet.live_nodes(here, now).len()).max(1);
         let share = rate * USED_FRACTION / senders as f64;
-        let taken = self.states[index].take_cold(share, now);
-        taken.map_err(|_| Bar::Cold)
+        let taken = self.states[index].admit_while_cold(share, now);
+        taken.map_err(|_| Exclusion::Cold)
     }
 
     /// Assigns a request to an endpoint and records the use of its prompt prefixes there.
@@ -321,13 +328,13 @@
         flight.tried.push(key);
         if service.model.is_some() {
             for part in &flight.prompt.shared {
-                self.prefixes.note(part.prefix, key, now);
-                if self.prefixes.is_news(part.prefix, key, now) {
-                    self.fleet.tell(part.prefix, key, true, now);
+                self.prefixes.record_use(part.prefix, key, now);
+                if self.prefixes.mark_announced_if_due(part.prefix, key, now) {
+                    self.fleet.announce_prefix(part.prefix, key, true, now);
                 }
             }
         }
-        self.fleet.touch();
+        self.fleet.mark_changed();
         let source = estimate.source.and_then(|source| self.state(source));
         let source = source.map(|state| state.info.address);
         let hedge_after = hedge_after(flight, &estimate);
@@ -342,12 +349,12 @@
             .state_mut(key)
             .expect("only known endpoints are ranked");
         let before = state.load();
-        state.own.add(load);
+        state.own_load.add(load);
         Assignment {
             attempt: Attempt {
                 key,
                 load,
-                expected: estimate.first,
+                expected: estimate.time_to_first,
                 sent: now,
             },
             address: state.info.address,
@@ -366,7 +373,7 @@
 /// Returns the time after which another endpoint is tried, if the request may run again.
 fn hedge_after(flight: &Flight, estimate: &Estimate) -> Option<Duration> {
     let target = flight.route.target;
-    let expected = estimate.first.mul_f64(HEDGE_FACTOR);
+    let expected = estimate.time_to_first.mul_f64(HEDGE_FACTOR);
     let (least, most) = (
         target.mul_f64(HEDGE_TARGET_FRACTIONS.0),
         target.mul_f64(HEDGE_TARGET_FRACTIONS.1),
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/waiting.rs
@@ -11,7 +11,7 @@
         attempt::{Delay, Placement, WaitCause},
         config::Service,
         flight::Flight,
-        placement::{Bar, Estimate},
+        placement::{Estimate, Exclusion},
         refusal::{Cause, Refusal},
     },
     id::Time,
@@ -67,7 +67,7 @@
             return None;
         }
         let running = self.state(key)?.load().running;
-        let expected = estimate.first;
+        let expected = estimate.time_to_first;
         let cause = if f64::from(running) > f64::from(model.slots) * BATCH_FILL_FRACTION {
             WaitCause::Full
         } else if waited + expected > target && expected > target.mul_f64(LATE_ANSWER_FRACTION) {
@@ -112,7 +112,7 @@
     pub(super) fn wait_or_refuse(
         &mut self,
         flight: &mut Flight,
-        bars: Vec<Bar>,
+        exclusions: Vec<Exclusion>,
         now: Time,
     ) -> Placement {
         let max_wait = flight
@@ -121,12 +121,15 @@
             .mul_f64(WAIT_TARGET_FRACTION)
             .max(MIN_WAIT);
         let since = *flight.waiting_since.get_or_insert(now);
-        let excluded_by_region = bars.iter().all(|bar| *bar == Bar::Region) && !bars.is_empty();
+        let excluded_by_region = exclusions
+            .iter()
+            .all(|exclusion| *exclusion == Exclusion::Region)
+            && !exclusions.is_empty();
         if !excluded_by_region && now.saturating_sub(since) < max_wait.min(flight.time_left(now)) {
             return Placement::Wait(Delay::poll(WaitCause::NoEndpoint));
         }
         let wait = self.retry_after(flight, now);
-        Placement::Refuse(give_up(flight, Cause::NoEndpoint, Some(wait)), bars)
+        Placement::Refuse(give_up(flight, Cause::NoEndpoint, Some(wait)), exclusions)
     }
 
     /// Returns a random time between two thirds of `most` and `most`, so that callers do not retry
