--- a/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/placing.rs
@@ -1,4 +1,4 @@
-//! Admission of requests, and where they go.
+//! Admission of requests, and the choice of an endpoint for each.
 
 use std::time::Duration;
 
@@ -6,90 +6,102 @@
 
 use super::{
     Dispatcher,
-    waiting::{BLIND, RETURN_PART, give_up},
+    waiting::{MAX_UNCONFIGURED_RETRY_AFTER, RETRY_AFTER_FRACTION, give_up},
 };
 use crate::{
     dispatch::{
         Key,
-        attempt::{Attempt, Delay, Obstacle, Order, Placement},
+        attempt::{Assignment, Attempt, Delay, Placement, WaitCause},
         config::{Service, Share},
+        crashes, data_centre,
         endpoint::{Load, State},
-        flight::{Ask, Flight},
-        place,
+        flight::{DecodedRequest, Flight},
         placement::{CachedTokens, Estimate, Exclusion, View, is_urgent},
         prefix::{Index, REFRESH},
         refusal::{Cause, Refusal},
         registry::Area,
-        strikes,
     },
     id::{Fingerprint, Time},
 };
 
-/// Largest random addition to a score, so that nodes that see the same choose differently.
-const JITTER: f64 = 8.0;
+/// Largest random addition to a score, so that nodes with the same view choose differently.
+const MAX_SCORE_JITTER: f64 = 8.0;
 
-/// Answers are awaited this many times longer than expected before another endpoint is asked.
+/// Multiple of the expected time to an answer after which another endpoint is tried.
 const HEDGE_FACTOR: f64 = 2.5;
 
-/// Shortest and longest part of the target after which another endpoint is asked.
-const HEDGE_PARTS: (f64, f64) = (0.4, 0.65);
+/// Smallest and largest fraction of the target after which another endpoint is tried.
+const HEDGE_TARGET_FRACTIONS: (f64, f64) = (0.4, 0.65);
 
 impl Dispatcher {
-    /// Finds the route and the organisation of a request and decides whether it may be served.
+    /// Admits a request: finds its route and organisation and chooses a service.
     ///
     /// # Errors
-    /// Why it is refused.
+    /// Returns the refusal if there is no configuration, no matching route or no valid key, or if
+    /// the request is quarantined.
     pub fn admit(
         &mut self,
-        ask: Ask,
+        request: DecodedRequest,
         fingerprint: Fingerprint,
         now: Time,
     ) -> Result<Flight, Refusal> {
         let Some(config) = self.registry.config().cloned() else {
-            let patience = ask.patience.unwrap_or(BLIND);
-            let wait = self.spread(patience.mul_f64(RETURN_PART).min(BLIND));
+            let max_wait = request.max_wait.unwrap_or(MAX_UNCONFIGURED_RETRY_AFTER);
+            let wait = self.random_upper_third(
+                max_wait
+                    .mul_f64(RETRY_AFTER_FRACTION)
+                    .min(MAX_UNCONFIGURED_RETRY_AFTER),
+            );
             return Err(Refusal::not_run(Cause::Unconfigured, Some(wait)));
         };
         let refuse = |cause| Err(Refusal::not_run(cause, None));
-        let Some(route) = config.route(&ask.host, &ask.path) else {
+        let Some(route) = config.route(&request.host, &request.path) else {
             return refuse(Cause::NoRoute);
         };
-        let holder = ask.key.as_deref().and_then(|key| config.organisation(key));
-        if holder.is_none() && !route.public && !config.organisations.is_empty() {
+        let key_owner = request
+            .key
+            .as_deref()
+            .and_then(|key| config.organisation(key));
+        if key_owner.is_none() && !route.public && !config.organisations.is_empty() {
             return refuse(Cause::BadKey);
         }
-        let organisation = if route.public { None } else { holder.cloned() };
-        if self.strikes.count(fingerprint) >= strikes::LIMIT {
+        let organisation = if route.public {
+            None
+        } else {
+            key_owner.cloned()
+        };
+        if self.crashes.count(fingerprint) >= crashes::LIMIT {
             return refuse(Cause::Quarantined);
         }
-        let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+        let max_wait = request.max_wait.unwrap_or(route.timeout).min(route.timeout);
         let service = self.choose_service(&route.split);
-        self.budget.note(&service, now);
+        self.budget.count_request(&service, now);
         let rank = config.rank(route, organisation.as_deref());
         Ok(Flight {
-            id: ask.id,
+            id: request.id,
             rank,
             organisation,
-            prompt: ask.prompt,
+            prompt: request.prompt,
             fingerprint,
-            until: now + patience,
+            deadline: now + max_wait,
             service,
             ..Flight::new(route.clone(), config.version, now)
         })
     }
 
+    /// Returns a service at random, in proportion to the weights.
     fn choose_service(&mut self, split: &[Share]) -> String {
         let total: u32 = split.iter().map(|share| share.weight).sum();
-        let mut left = if total > 0 {
+        let mut remaining = if total > 0 {
             self.rng.random_range(0..total)
         } else {
             0
         };
         for share in split {
-            if left < share.weight {
+            if remaining < share.weight {
                 return share.service.clone();
             }
-            left -= share.weight;
+            remaining -= share.weight;
         }
         split
             .first()
@@ -97,35 +109,35 @@
             .unwrap_or_default()
     }
 
-    /// Decides what to do with a request now.
+    /// Decides whether to send a request to an endpoint now, let it wait, or refuse it.
     pub fn place(&mut self, flight: &mut Flight, now: Time) -> Placement {
-        if flight.left(now).is_zero() {
+        if flight.time_left(now).is_zero() {
             return Placement::Refuse(give_up(flight, Cause::TimedOut, None), Vec::new());
         }
         let Some(config) = self.registry.config().cloned() else {
-            return Placement::Wait(Delay::short(Obstacle::Unconfigured));
+            return Placement::Wait(Delay::poll(WaitCause::Unconfigured));
         };
         let unknown = Service::default();
         let service = config.service(&flight.service).unwrap_or(&unknown);
-        let (ranked, mut bars) = self.rank(flight, service, now);
+        let (ranked, mut exclusions) = self.rank(flight, service, now);
         if let Some((key, estimate)) = ranked.first()
             && let Some(delay) = self.defer(flight, service, *key, estimate, now)
         {
             return Placement::Wait(delay);
         }
         for (key, estimate) in ranked {
-            match self.take(key, service, now) {
-                Ok(()) => return Placement::Send(self.send(key, estimate, flight, service, now)),
-                Err(bar) => bars.push(bar),
+            match self.admit_cold(key, service, now) {
+                Ok(()) => return Placement::Send(self.assign(key, estimate, flight, service, now)),
+                Err(exclusion) => exclusions.push(exclusion),
             }
         }
-        self.hold(flight, bars, now)
+        self.wait_or_refuse(flight, exclusions, now)
     }
 
-    /// Returns whether an endpoint may take a request, apart from how cold it is.
+    /// Checks whether an endpoint is eligible for a request, without regard to cold start.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Returns the first reason that excludes the endpoint.
     pub(super) fn admits(&self, state: &State, flight: &Flight) -> Result<(), Exclusion> {
         let info = &state.info;
         let closed = self
@@ -133,7 +145,7 @@
             .closed()
             .binary_search(&info.data_centre)
             .is_ok();
-        let bars = [
+        let exclusions = [
             (info.service != flight.service, Exclusion::Service),
             (!flight.may_run_in(&state.region), Exclusion::Region),
             (closed, Exclusion::Closed),
@@ -141,87 +153,88 @@
             (flight.tried.contains(&state.key), Exclusion::Tried),
             (state.is_in_backoff(), Exclusion::Resting),
         ];
-        match bars.iter().find(|(barred, _)| *barred) {
-            Some((_, bar)) => Err(*bar),
+        match exclusions.iter().find(|(excluded, _)| *excluded) {
+            Some((_, exclusion)) => Err(*exclusion),
             None => Ok(()),
         }
     }
 
-    /// Returns what each endpoint holds of a prompt's beginning.
-    fn held(&self, flight: &Flight, now: Time) -> Vec<CachedTokens> {
-        let held = |state: &State| {
-            let mut held = CachedTokens::default();
+    /// Returns the cached tokens of a prompt at each endpoint.
+    fn cached_tokens(&self, flight: &Flight, now: Time) -> Vec<CachedTokens> {
+        let cached = |state: &State| {
+            let mut cached = CachedTokens::default();
             for part in &flight.prompt.shared {
                 let Some(age) = self.prefixes.age(part.prefix, state.key, now) else {
                     break;
                 };
-                if held.read == held.sent && Index::is_read(age) {
-                    held.read = part.tokens;
+                if cached.read == cached.sent && Index::is_read(age) {
+                    cached.read = part.tokens;
                 }
-                held.sent = part.tokens;
+                cached.sent = part.tokens;
             }
-            held
+            cached
         };
-        self.states.iter().map(held).collect()
+        self.states.iter().map(cached).collect()
     }
 
-    /// Returns how many tokens of a prompt's beginning were used anywhere lately.
-    fn recent(&self, flight: &Flight, now: Time) -> u32 {
-        let lately = |at: Time| now.saturating_sub(at) < self.options.reuse + REFRESH;
+    /// Returns the length of a prompt's longest prefix that any endpoint used recently, in tokens.
+    fn recent_tokens(&self, flight: &Flight, now: Time) -> u32 {
+        let is_recent = |used: Time| now.saturating_sub(used) < self.options.reuse_window + REFRESH;
         let mut parts = flight.prompt.shared.iter().rev();
-        let recent = parts.find(|part| self.prefixes.last_use(part.prefix).is_some_and(lately));
+        let recent = parts.find(|part| self.prefixes.last_use(part.prefix).is_some_and(is_recent));
         recent.map_or(0, |part| part.tokens)
     }
 
-    fn usual_pace(&self, service: &str) -> f64 {
-        let mut paces: Vec<f64> = self.peers(service).map(State::slowdown).collect();
-        paces.sort_by(f64::total_cmp);
-        paces.get(paces.len() / 2).copied().unwrap_or(1.0)
+    /// Returns the median slowdown of a service's endpoints; 1.0 if it has none.
+    fn median_slowdown(&self, service: &str) -> f64 {
+        let mut slowdowns: Vec<f64> = self.endpoints_of(service).map(State::slowdown).collect();
+        slowdowns.sort_by(f64::total_cmp);
+        slowdowns.get(slowdowns.len() / 2).copied().unwrap_or(1.0)
     }
 
     /// Returns the endpoints of a service.
-    pub(super) fn peers(&self, service: &str) -> impl Iterator<Item = &State> {
+    pub(super) fn endpoints_of(&self, service: &str) -> impl Iterator<Item = &State> {
         self.states
             .iter()
             .filter(move |state| state.info.service == service)
     }
 
-    /// Returns what each endpoint of a request's service would do for it, or why it may not take it.
+    /// Returns each endpoint of a request's service, with its estimate or the reason to exclude it.
     fn estimates(
         &self,
         flight: &Flight,
         service: &Service,
         now: Time,
     ) -> Vec<(&State, Result<Estimate, Exclusion>)> {
-        let held = self.held(flight, now);
+        let cached = self.cached_tokens(flight, now);
         let name = &flight.service;
         let view = View {
             states: &self.states,
-            cached: &held,
-            most_cached: held
+            cached: &cached,
+            most_cached: cached
                 .iter()
                 .copied()
                 .fold(CachedTokens::default(), CachedTokens::max),
-            recent: self.recent(flight, now),
-            max_token_gap: self.gap(name),
+            recent: self.recent_tokens(flight, now),
+            max_token_gap: self.shortest_sensitive_gap(name),
             gap_sensitive: self.is_sensitive(&flight.route, name),
-            data_centre: &self.options.place,
+            data_centre: &self.options.data_centre,
             region: &self.region,
-            plain_ms: self.plain.value(name),
-            whole_answer_ms: self.whole.value(name),
-            median_slowdown: self.usual_pace(name),
+            plain_ms: self.plain_answer_ms.value(name),
+            whole_answer_ms: self.whole_answer_ms.value(name),
+            median_slowdown: self.median_slowdown(name),
             now,
         };
         let estimate = |state| {
             self.admits(state, flight)
                 .map(|()| view.estimate(state, flight, service))
         };
-        self.peers(name)
+        self.endpoints_of(name)
             .map(|state| (state, estimate(state)))
             .collect()
     }
 
-    /// Returns the endpoints that may take a request, best first, and what bars the others.
+    /// Returns the eligible endpoints, best first, and the reasons that excluded the others.
     fn rank(
         &mut self,
         flight: &Flight,
@@ -229,23 +242,24 @@
         now: Time,
     ) -> (Vec<(Key, Estimate)>, Vec<Exclusion>) {
         let mut ranked = Vec::new();
-        let mut bars = Vec::new();
+        let mut exclusions = Vec::new();
         for (state, estimate) in self.estimates(flight, service, now) {
             match estimate {
                 Ok(estimate) => ranked.push((state.key, estimate)),
-                Err(bar) => bars.push(bar),
+                Err(exclusion) => exclusions.push(exclusion),
             }
         }
         for (_, estimate) in &mut ranked {
-            estimate.score += JITTER * self.rng.random::<f64>();
+            estimate.score += MAX_SCORE_JITTER * self.rng.random::<f64>();
         }
         ranked.sort_by(|(_, one), (_, other)| one.score.total_cmp(&other.score));
-        (ranked, bars)
+        (ranked, exclusions)
     }
 
-    /// Returns what each endpoint would do for a request on a route, or why it may not take it.
+    /// Returns the estimate, or the reason for exclusion, of each endpoint for a route.
     ///
-    /// Nothing is returned if no route has the name.
+    /// The endpoints are those of the route's first service. Returns `None` if no route has the
+    /// name, or if the node has no configuration.
     #[must_use]
     pub fn explain(
         &self,
@@ -254,56 +268,63 @@
         now: Time,
     ) -> Option<Vec<(String, Result<Estimate, Exclusion>)>> {
         let config = self.registry.config()?;
-        let route = config.routes.iter().find(|each| each.name == route)?;
+        let route = config.routes.iter().find(|known| known.name == route)?;
         let service = route.split.first()?.service.clone();
         let mut flight = Flight::new(route.clone(), config.version, now);
         flight.prompt.tokens = tokens;
         let unknown = Service::default();
-        let kind = config.service(&service).unwrap_or(&unknown);
+        let service_config = config.service(&service).unwrap_or(&unknown);
         flight.service = service;
-        let estimates = self.estimates(&flight, kind, now).into_iter();
+        let estimates = self.estimates(&flight, service_config, now).into_iter();
         let named = estimates.map(|(state, estimate)| (state.info.id.clone(), estimate));
         Some(named.collect())
     }
 
-    /// A cold endpoint takes requests from a few nodes of its data centre, at a part of its rate.
+    /// Counts a request towards this node's share of a cold endpoint's rate.
     ///
-    /// Each of them may have saved up one request. Two sets of nodes that do not hear each other, and
-    /// both believe to be the senders, stay within one and a half times the rate and five together.
-    fn take(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Exclusion> {
-        /// Part of the rate that is given out.
-        const PART: f64 = 0.6;
-        /// Senders of an endpoint with the smallest rate, and for each request a second more.
-        const SENDERS: (f64, f64) = (2.5, 0.15);
-        let at = self.find(key).map_err(|_| Exclusion::Resting)?;
-        let state = &self.states[at];
+    /// A cold endpoint accepts requests from a few nodes of its data centre, at a fraction of its
+    /// rate. Each node may accumulate an allowance of one request. If the data centre is split into
+    /// two sets of nodes that cannot reach each other, each set may choose its own senders.
+    /// Together they send at most five requests plus one and a half times the rate.
+    ///
+    /// # Errors
+    /// Returns the reason if the endpoint is cold and this node may not send to it now.
+    fn admit_cold(&mut self, key: Key, service: &Service, now: Time) -> Result<(), Exclusion> {
+        /// Fraction of the rate that all senders together may use.
+        const USED_FRACTION: f64 = 0.6;
+        /// Number of senders to an endpoint with a rate near 0, and the increase for each request
+        /// per second.
+        const SENDER_COUNT: (f64, f64) = (2.5, 0.15);
+        let index = self.find(key).map_err(|_| Exclusion::Resting)?;
+        let state = &self.states[index];
         let rate = service.cold_rate;
         if rate <= 0.0 || !state.is_cold(now) {
             return Ok(());
         }
-        let here = place(&self.options.place);
-        let senders = (SENDERS.0 + SENDERS.1 * rate) as usize;
-        if state.info.data_centre != self.options.place
+        let here = data_centre(&self.options.data_centre);
+        let senders = (SENDER_COUNT.0 + SENDER_COUNT.1 * rate) as usize;
+        if state.info.data_centre != self.options.data_centre
             || self.fleet.is_isolated(now)
             || !self.fleet.is_among_first(senders, key, now)
         {
             return Err(Exclusion::ColdElsewhere);
         }
         let senders = senders.min(self.fleet.live_nodes(here, now).len()).max(1);
-        let share = rate * PART / senders as f64;
-        let taken = self.states[at].admit_while_cold(share, now);
+        let share = rate * USED_FRACTION / senders as f64;
+        let taken = self.states[index].admit_while_cold(share, now);
         taken.map_err(|_| Exclusion::Cold)
     }
 
-    fn send(
+    /// Assigns a request to an endpoint and records the use of its prompt prefixes there.
+    fn assign(
         &mut self,
         key: Key,
         estimate: Estimate,
         flight: &mut Flight,
         service: &Service,
         now: Time,
-    ) -> Order {
-        flight.waiting = None;
+    ) -> Assignment {
+        flight.waiting_since = None;
         flight.tried.push(key);
         if service.model.is_some() {
             for part in &flight.prompt.shared {
@@ -316,7 +337,7 @@
         self.fleet.mark_changed();
         let source = estimate.source.and_then(|source| self.state(source));
         let source = source.map(|state| state.info.address);
-        let hedge = hedge(flight, &estimate);
+        let hedge_after = hedge_after(flight, &estimate);
         let roster = self.registry.revision(Area::Roster).changed;
         let roster_age = self.registry.age(Area::Roster, now);
         let load = Load {
@@ -329,7 +350,7 @@
             .expect("only known endpoints are ranked");
         let before = state.load();
         state.own_load.add(load);
-        Order {
+        Assignment {
             attempt: Attempt {
                 key,
                 load,
@@ -340,7 +361,7 @@
             instance: state.info.id.clone(),
             source,
             rank: flight.rank,
-            hedge,
+            hedge_after,
             estimate,
             load: before,
             roster,
@@ -349,11 +370,14 @@
     }
 }
 
-/// Returns the time after which a repeatable request is better asked elsewhere.
-fn hedge(flight: &Flight, estimate: &Estimate) -> Option<Duration> {
+/// Returns the time after which another endpoint is tried, if the request may run again.
+fn hedge_after(flight: &Flight, estimate: &Estimate) -> Option<Duration> {
     let target = flight.route.target;
     let expected = estimate.time_to_first.mul_f64(HEDGE_FACTOR);
-    let (least, most) = (target.mul_f64(HEDGE_PARTS.0), target.mul_f64(HEDGE_PARTS.1));
-    let may = flight.may_run_after(flight.runs + 1);
-    may.then(|| expected.clamp(least, most))
+    let (least, most) = (
+        target.mul_f64(HEDGE_TARGET_FRACTIONS.0),
+        target.mul_f64(HEDGE_TARGET_FRACTIONS.1),
+    );
+    let may_rerun = flight.may_run_after(flight.runs + 1);
+    may_rerun.then(|| expected.clamp(least, most))
 }
--- a/crates/peridotdeck-core/src/dispatch/fleet.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet.rs
@@ -17,7 +17,7 @@
 use peridotdeck_wire::beat;
 use send::round_time;
 
-use super::{Key, Node, Place, Prefix, endpoint::Load};
+use super::{DataCentre, Key, Node, Prefix, endpoint::Load};
 use crate::{id::Time, rank};
 
 /// Time without a heartbeat after which a peer in the same data centre counts as dead.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 struct Peer {
     node: Node,
-    data_centre: Option<Place>,
+    data_centre: Option<DataCentre>,
     incarnation: u64,
     sequence: u64,
     received: Option<Time>,
@@ -60,7 +60,7 @@
 /// Load that the nodes of another data centre reported together.
 #[derive(Clone, Debug)]
 struct Remote {
-    data_centre: Place,
+    data_centre: DataCentre,
     received: Time,
     loads: Vec<(Key, Load)>,
 }
@@ -111,9 +111,9 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     me: Node,
-    data_centre: Place,
+    data_centre: DataCentre,
     /// Other data centres of the region, whose nodes use the same endpoints more than others do.
-    siblings: Vec<Place>,
+    siblings: Vec<DataCentre>,
     incarnation: u64,
     started: Time,
     sequence: u64,
@@ -136,8 +136,8 @@
     #[must_use]
     pub fn new(
         me: Node,
-        data_centre: Place,
-        siblings: Vec<Place>,
+        data_centre: DataCentre,
+        siblings: Vec<DataCentre>,
         incarnation: u64,
         seeds: &[Node],
         now: Time,
@@ -212,7 +212,7 @@
 
     /// Returns the live nodes of a data centre in order of address, this node included.
     #[must_use]
-    pub fn live_nodes(&self, data_centre: Place, now: Time) -> Vec<Node> {
+    pub fn live_nodes(&self, data_centre: DataCentre, now: Time) -> Vec<Node> {
         let peers = self
             .peers
             .iter()
@@ -275,7 +275,7 @@
 
     /// Returns the live nodes and their data centres, without this node.
     #[must_use]
-    pub fn members(&self, now: Time) -> Vec<(Node, Place)> {
+    pub fn members(&self, now: Time) -> Vec<(Node, DataCentre)> {
         let live = self.peers.iter().filter(|peer| self.is_live(peer, now));
         live.filter_map(|peer| Some((peer.node, peer.data_centre?)))
             .collect()
@@ -314,7 +314,7 @@
     fn find_or_add_peer(
         &mut self,
         node: Node,
-        data_centre: Option<Place>,
+        data_centre: Option<DataCentre>,
         now: Time,
     ) -> Option<usize> {
         if node == self.me {
