--- a/crates/peridotdeck-relay/src/journey.rs
+++ b/crates/peridotdeck-relay/src/forwarding.rs
@@ -68,7 +68,7 @@
 
 /// A request, its attempts, and its end.
 #[derive(Debug)]
-pub struct Journey<I: Ingress> {
+pub struct Forwarding<I: Ingress> {
     pub(crate) shared: Arc<Shared<I>>,
     pub(crate) message: Message,
     pub(crate) flight: Flight,
@@ -87,7 +87,7 @@
     ended: bool,
 }
 
-impl<I: Ingress> Journey<I> {
+impl<I: Ingress> Forwarding<I> {
     /// Starts with an admitted request.
     #[must_use]
     pub fn new(shared: Arc<Shared<I>>, message: Message, flight: Flight) -> Self {
@@ -118,7 +118,7 @@
             match self.attempt(&assignment).await {
                 Some(Ok(arrival)) => match self.arrive(&assignment, arrival) {
                     Ok(outcome) => return *outcome,
-                    Err(journey) => self = *journey,
+                    Err(forwarding) => self = *forwarding,
                 },
                 Some(Err(failure)) => {
                     self.finish(failure.end, &failure.cause);
@@ -347,7 +347,7 @@
     }
 }
 
-impl<I: Ingress> Drop for Journey<I> {
+impl<I: Ingress> Drop for Forwarding<I> {
     fn drop(&mut self) {
         if !self.ended {
             self.finish(End::Cancelled, "caller left");
--- a/crates/peridotdeck-relay/src/journey/account.rs
+++ b/crates/peridotdeck-relay/src/forwarding/account.rs
@@ -7,10 +7,10 @@
     registry::Area,
 };
 
-use super::Journey;
+use super::Forwarding;
 use crate::{Ingress, clock};
 
-impl<I: Ingress> Journey<I> {
+impl<I: Ingress> Forwarding<I> {
     /// Logs and counts a request that ended without a whole answer.
     pub(crate) fn end_with(&mut self, outcome: &str, refusal: &Refusal) {
         let wait = refusal.retry_after.unwrap_or_default().as_millis();
--- a/crates/peridotdeck-relay/src/front.rs
+++ b/crates/peridotdeck-relay/src/front.rs
@@ -24,7 +24,7 @@
 use crate::{
     Ingress, Shared, clock,
     exchange::Message,
-    journey::{Journey, Outcome},
+    forwarding::{Forwarding, Outcome},
     stream::Cut,
 };
 
@@ -69,8 +69,8 @@
     let mut response = match admitted {
         Ok((flight, body)) => {
             let message = Message { head, body };
-            let journey = Journey::new(Arc::clone(&shared), message, flight);
-            match Box::pin(journey.run()).await {
+            let forwarding = Forwarding::new(Arc::clone(&shared), message, flight);
+            match Box::pin(forwarding.run()).await {
                 Outcome::Whole(response) => pass_on(response),
                 Outcome::Stream(mut head, relay) => {
                     strip_connection(&mut head.headers);
--- a/crates/peridotdeck-relay/src/lib.rs
+++ b/crates/peridotdeck-relay/src/lib.rs
@@ -5,7 +5,7 @@
 //! and [`Publisher`]. One request's way:
 //!
 //! 1. [`server`] accepts the caller's connection; [`front`] reads head and body;
-//! 2. [`journey`] asks for a placement, makes attempts, and answers for the outcome;
+//! 2. [`forwarding`] asks for a placement, makes attempts, and answers for the outcome;
 //! 3. [`pool`] opens or reuses a connection to the endpoint, [`exchange`] sends the request and
 //!    reads the answer's head;
 //! 4. [`stream`] passes events on one by one, and goes on at another endpoint where it may.
@@ -17,10 +17,10 @@
 pub mod control;
 pub mod exchange;
 pub mod fetch;
+pub mod forwarding;
 pub mod front;
 pub mod ingress;
 pub mod journal;
-pub mod journey;
 pub mod metrics;
 pub mod node;
 pub mod peers;
--- a/crates/peridotdeck-relay/src/stream.rs
+++ b/crates/peridotdeck-relay/src/stream.rs
@@ -23,7 +23,7 @@
 use crate::{
     Ingress, clock,
     exchange::Failure,
-    journey::{Journey, Started},
+    forwarding::{Forwarding, Started},
     pool::Link,
 };
 
@@ -44,7 +44,7 @@
 /// A stream in progress.
 #[derive(Debug)]
 pub struct Relay<I: Ingress> {
-    journey: Journey<I>,
+    forwarding: Forwarding<I>,
     key: Key,
     link: Option<Link>,
     keep_alive: Option<Duration>,
@@ -56,11 +56,11 @@
 }
 
 impl<I: Ingress> Relay<I> {
-    pub(crate) fn new(mut journey: Journey<I>, key: Key, started: Started) -> Self {
-        journey.note_read();
-        let left = journey.flight.time_left(clock::now());
+    pub(crate) fn new(mut forwarding: Forwarding<I>, key: Key, started: Started) -> Self {
+        forwarding.note_read();
+        let left = forwarding.flight.time_left(clock::now());
         Self {
-            journey,
+            forwarding,
             key,
             link: Some(started.link),
             keep_alive: started.keep_alive,
@@ -119,14 +119,14 @@
         let now = clock::now();
         let first = !std::mem::replace(&mut self.first_sent, true);
         if first {
-            let flight = &self.journey.flight;
+            let flight = &self.forwarding.flight;
             let time = now.saturating_sub(flight.arrived);
-            let metrics = &self.journey.shared.metrics;
+            let metrics = &self.forwarding.shared.metrics;
             metrics.first(&flight.route.name, flight.organisation_name(), time);
-            self.journey.first = Some(time);
+            self.forwarding.first = Some(time);
         } else {
             let pause = now.saturating_sub(self.sent);
-            self.journey.note_pause(pause);
+            self.forwarding.note_pause(pause);
         }
         self.sent = now;
     }
@@ -134,11 +134,11 @@
     /// The endpoint has ended the stream well; whatever is left belongs to it.
     fn complete(&mut self) -> Option<Bytes> {
         if let Some(link) = self.link.take() {
-            let pool = &self.journey.shared.pool;
+            let pool = &self.forwarding.shared.pool;
             pool.keep(self.key, link, self.keep_alive);
-            self.journey.finish(End::Finished, "");
-            self.journey.note_whole();
-            self.journey.end("answered", 200, "");
+            self.forwarding.finish(End::Finished, "");
+            self.forwarding.note_whole();
+            self.forwarding.end("answered", 200, "");
         }
         self.events.rest()
     }
@@ -148,29 +148,29 @@
         // Closing the connection ends the work of the endpoint before another one goes on.
         self.link = None;
         self.body = None;
-        self.journey.finish(failure.end, &failure.cause);
-        let flight = &self.journey.flight;
+        self.forwarding.finish(failure.end, &failure.cause);
+        let flight = &self.forwarding.flight;
         let may_go_on = flight.route.resumable || !self.first_sent;
         if failure.end != End::TimedOut
             && may_go_on
-            && self.journey.next(failure.end) == Next::Retry
+            && self.forwarding.next(failure.end) == Next::Retry
         {
             let last = self.events.last.clone();
-            match self.journey.resume(last.as_deref()).await {
+            match self.forwarding.resume(last.as_deref()).await {
                 Ok((key, started)) => {
                     self.go_on(key, started);
                     return Ok(());
                 }
-                Err(refusal) => self.journey.end_with("cut", &refusal),
+                Err(refusal) => self.forwarding.end_with("cut", &refusal),
             }
         }
         let end: &'static str = failure.end.into();
-        self.journey.end("cut", 0, end);
+        self.forwarding.end("cut", 0, end);
         Err(Cut::Broken)
     }
 
     fn go_on(&mut self, key: Key, started: Started) {
-        self.journey.note_read();
+        self.forwarding.note_read();
         self.key = key;
         self.link = Some(started.link);
         self.keep_alive = started.keep_alive;
