--- a/crates/peridotdeck-relay/src/forwarding.rs
+++ b/crates/peridotdeck-relay/src/forwarding.rs
@@ -1,6 +1,6 @@
 //! One caller's request from its admission to its end.
 
-mod account;
+mod logging;
 
 use std::{
     pin::pin,
