--- a/crates/peridotdeck-relay/src/exchange.rs
+++ b/crates/peridotdeck-relay/src/exchange.rs
@@ -21,7 +21,7 @@
     Ingress, Shared, clock,
     fetch::Source,
     ingress::Reply,
-    pool::{self, Link},
+    pool::{self, Connection},
 };
 
 /// Longest idle time of a connection that carries a call which may run only once.
@@ -41,7 +41,7 @@
     /// Head and body.
     pub response: Response<Incoming>,
     /// The connection, to be kept after a whole body.
-    pub link: Link,
+    pub connection: Connection,
     /// Time for which the endpoint keeps the connection.
     pub keep_alive: Option<Duration>,
 }
@@ -99,15 +99,15 @@
     assignment: &Assignment,
     resume: Option<&str>,
 ) -> Result<Answer, Failure> {
-    let mut link = open(shared, flight, assignment).await?;
+    let mut connection = open(shared, flight, assignment).await?;
     let left = flight.time_left(clock::now());
     if left.is_zero() {
         return Err(Failure::new(End::Unreachable, "no time left"));
     }
     let headers = shared
         .ingress
-        .forward(&message.head, flight, assignment, left, resume);
-    let answer = link.sender.send_request(message.copy(headers));
+        .forward_headers(&message.head, flight, assignment, left, resume);
+    let answer = connection.sender.send_request(message.copy(headers));
     let answer = timeout(flight.time_left(clock::now()), answer).await;
     let late = |_| Failure::new(End::TimedOut, "no answer in time");
     let response = answer.map_err(late)?.map_err(|cause| failure(&cause))?;
@@ -121,7 +121,7 @@
     Ok(Answer {
         reply,
         response: Response::from_parts(head, body),
-        link,
+        connection,
         keep_alive,
     })
 }
@@ -141,14 +141,14 @@
     shared: &Arc<Shared<I>>,
     flight: &Flight,
     assignment: &Assignment,
-) -> Result<Link, Failure> {
+) -> Result<Connection, Failure> {
     let key = assignment.attempt.key();
     let fresh = match flight.route.kind {
         Kind::NonIdempotent => FRESH,
         Kind::Idempotent | Kind::Stream => KEPT,
     };
-    if let Some(link) = shared.pool.reuse(key, fresh) {
-        return Ok(link);
+    if let Some(connection) = shared.pool.reuse(key, fresh) {
+        return Ok(connection);
     }
     let dialed = dial(shared, key, assignment.address).await;
     dialed.map_err(|cause| Failure::new(End::Unreachable, &cause))
@@ -159,7 +159,7 @@
     shared: &Arc<Shared<I>>,
     key: Key,
     address: SocketAddrV4,
-) -> Result<Link, pool::Error> {
+) -> Result<Connection, pool::Error> {
     let watch = Arc::clone(shared);
     let dialed = pool::dial(address, move || watch.suspect(key)).await;
     shared.metrics.dialed(dialed.is_ok());
@@ -169,8 +169,8 @@
 /// Opens a connection to see whether an endpoint is there, and keeps it.
 pub async fn probe<I: Ingress>(shared: &Arc<Shared<I>>, key: Key, address: SocketAddrV4) -> bool {
     match dial(shared, key, address).await {
-        Ok(link) => {
-            shared.pool.keep(key, link, None);
+        Ok(connection) => {
+            shared.pool.keep(key, connection, None);
             true
         }
         Err(cause) => {
@@ -181,15 +181,15 @@
 }
 
 /// Asks an endpoint which prompt parts its memory holds.
-pub async fn inquire<I: Ingress>(shared: &Arc<Shared<I>>, query: CacheQuery) {
-    let Some(path) = shared.ingress.inventory_path() else {
+pub async fn fetch_cache_list<I: Ingress>(shared: &Arc<Shared<I>>, query: CacheQuery) {
+    let Some(path) = shared.ingress.cache_list_path() else {
         return;
     };
     let read = Source::new(query.address).get(path, INQUIRY).await;
     let listed = match read {
         Ok(body) => shared
             .ingress
-            .inventory(&body)
+            .decode_cache_list(&body)
             .map_err(|cause| cause.to_string()),
         Err(cause) => Err(cause.to_string()),
     };
--- a/crates/peridotdeck-relay/src/fetch.rs
+++ b/crates/peridotdeck-relay/src/fetch.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, StatusCode, body::Bytes, header};
 use quick_error::quick_error;
 
-use crate::pool::{self, Link};
+use crate::pool::{self, Connection};
 
 /// Largest answer.
 const MOST_BYTES: usize = 16 << 20;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Source {
     address: SocketAddrV4,
-    link: Option<Link>,
+    link: Option<Connection>,
 }
 
 impl Source {
--- a/crates/peridotdeck-relay/src/forwarding.rs
+++ b/crates/peridotdeck-relay/src/forwarding.rs
@@ -31,7 +31,7 @@
     Ingress, Shared, clock,
     exchange::{self, Failure, Message},
     ingress::Reply,
-    pool::Link,
+    pool::Connection,
     stream::{self, Events, Relay},
 };
 
@@ -55,14 +55,14 @@
     pub(crate) head: response::Parts,
     pub(crate) events: Events,
     pub(crate) body: Option<Incoming>,
-    pub(crate) link: Link,
+    pub(crate) connection: Connection,
     pub(crate) keep_alive: Option<Duration>,
 }
 
 /// What an attempt came to.
 enum Arrival {
-    Whole(Response<Bytes>, Link, Option<Duration>),
-    Failed(Response<Bytes>, Link, Option<Duration>),
+    Whole(Response<Bytes>, Connection, Option<Duration>),
+    Failed(Response<Bytes>, Connection, Option<Duration>),
     Started(Box<Started>),
 }
 
@@ -143,14 +143,14 @@
     ) -> Result<Box<Outcome<I>>, Box<Self>> {
         let key = assignment.attempt.key();
         match arrival {
-            Arrival::Whole(response, link, keep_alive) => {
-                self.shared.pool.keep(key, link, keep_alive);
+            Arrival::Whole(response, connection, keep_alive) => {
+                self.shared.pool.keep(key, connection, keep_alive);
                 self.finish(End::Finished, "");
                 self.end("answered", response.status().as_u16(), "");
                 Ok(Box::new(Outcome::Whole(response)))
             }
-            Arrival::Failed(response, link, keep_alive) => {
-                self.shared.pool.keep(key, link, keep_alive);
+            Arrival::Failed(response, connection, keep_alive) => {
+                self.shared.pool.keep(key, connection, keep_alive);
                 self.finish(End::Failed, "");
                 if self.next(End::Failed) == Next::Retry {
                     return Err(Box::new(self));
@@ -191,7 +191,7 @@
     ) -> Result<Arrival, Failure> {
         let answer = exchange::send(shared, message, flight, assignment, resume).await?;
         let (head, mut body) = answer.response.into_parts();
-        let (link, keep_alive) = (answer.link, answer.keep_alive);
+        let (connection, keep_alive) = (answer.connection, answer.keep_alive);
         let end = match answer.reply {
             Reply::Answer if flight.route.kind == Kind::Stream => {
                 // Until the first event there may still be another answer than this one.
@@ -201,7 +201,7 @@
                     head,
                     events,
                     body: goes_on.then_some(body),
-                    link,
+                    connection,
                     keep_alive,
                 })));
             }
@@ -209,9 +209,9 @@
                 let whole = whole(body, flight).await?;
                 let response = Response::from_parts(head, whole);
                 return Ok(if answer.reply == Reply::Answer {
-                    Arrival::Whole(response, link, keep_alive)
+                    Arrival::Whole(response, connection, keep_alive)
                 } else {
-                    Arrival::Failed(response, link, keep_alive)
+                    Arrival::Failed(response, connection, keep_alive)
                 });
             }
             Reply::Unclear => End::Failed,
@@ -222,7 +222,9 @@
         if end == End::Rejected {
             let rest = timeout(DRAIN, body.collect()).await;
             if matches!(rest, Ok(Ok(_))) {
-                shared.pool.keep(assignment.attempt.key(), link, keep_alive);
+                shared
+                    .pool
+                    .keep(assignment.attempt.key(), connection, keep_alive);
             }
         }
         Err(Failure { end, cause })
@@ -387,7 +389,7 @@
                 None => return Ok(false),
                 Some(bytes) => events.push(&bytes),
             }
-            if events.has_whole() {
+            if events.has_complete() {
                 return Ok(true);
             }
         }
--- a/crates/peridotdeck-relay/src/front.rs
+++ b/crates/peridotdeck-relay/src/front.rs
@@ -44,7 +44,7 @@
 ];
 
 /// Removes what concerns one connection only, and the framing, which is made anew.
-pub fn strip_connection(headers: &mut HeaderMap) {
+pub fn remove_connection_headers(headers: &mut HeaderMap) {
     for name in HOP_BY_HOP {
         headers.remove(name);
     }
@@ -73,7 +73,7 @@
             match Box::pin(forwarding.run()).await {
                 Outcome::Whole(response) => pass_on(response),
                 Outcome::Stream(mut head, relay) => {
-                    strip_connection(&mut head.headers);
+                    remove_connection_headers(&mut head.headers);
                     Response::from_parts(head, Either::Right(relay.into_body()))
                 }
                 Outcome::Refused(refusal) => refuse(&shared, id.as_deref(), &refusal),
@@ -156,7 +156,7 @@
     B: Body<Data = Bytes, Error = Cut>,
 {
     let (mut head, body) = response.into_parts();
-    strip_connection(&mut head.headers);
+    remove_connection_headers(&mut head.headers);
     Response::from_parts(head, Either::Left(Full::new(body)))
 }
 
@@ -168,7 +168,7 @@
 where
     B: Body<Data = Bytes, Error = Cut>,
 {
-    let (status, headers) = shared.ingress.refuse(id, refusal);
+    let (status, headers) = shared.ingress.refusal_head(id, refusal);
     let text = format!("{}: {}\n", refusal.cause, refusal.verdict);
     let mut response = Response::new(Either::Left(Full::new(Bytes::from(text))));
     *response.status_mut() = status;
--- a/crates/peridotdeck-relay/src/ingress.rs
+++ b/crates/peridotdeck-relay/src/ingress.rs
@@ -41,7 +41,7 @@
     /// Returns the headers under which a request goes to an endpoint.
     ///
     /// `resume` is the id of the last event that the caller has, where a stream goes on.
-    fn forward(
+    fn forward_headers(
         &self,
         head: &request::Parts,
         flight: &Flight,
@@ -57,14 +57,14 @@
     fn keep_alive(&self, head: &response::Parts) -> Option<Duration>;
 
     /// Returns the path at which an endpoint lists the prompt parts in its memory, if it does.
-    fn inventory_path(&self) -> Option<&str>;
+    fn cache_list_path(&self) -> Option<&str>;
 
     /// Reads such a list.
     ///
     /// # Errors
     /// If it is none.
-    fn inventory(&self, body: &[u8]) -> Result<Vec<Prefix>, serde_json::Error>;
+    fn decode_cache_list(&self, body: &[u8]) -> Result<Vec<Prefix>, serde_json::Error>;
 
     /// Returns status and headers that tell a caller of a refusal.
-    fn refuse(&self, id: Option<&str>, refusal: &Refusal) -> (hyper::StatusCode, HeaderMap);
+    fn refusal_head(&self, id: Option<&str>, refusal: &Refusal) -> (hyper::StatusCode, HeaderMap);
 }
--- a/crates/peridotdeck-relay/src/node.rs
+++ b/crates/peridotdeck-relay/src/node.rs
@@ -114,7 +114,7 @@
         let limits = front::limits(&watch);
         Limits {
             head_bytes: limits.head_bytes,
-            idle: limits.idle_time,
+            idle_timeout: limits.idle_time,
         }
     };
     let callee = Arc::clone(shared);
@@ -126,7 +126,7 @@
         let answer = move |request| future::ready(control::answer(&callee, &request, &ready));
         let limits = || Limits {
             head_bytes: CONTROL_HEAD_BYTES,
-            idle: CONTROL_IDLE,
+            idle_timeout: CONTROL_IDLE,
         };
         task::spawn(server::accept(listener, closed.clone(), limits, answer));
     }
@@ -158,7 +158,7 @@
         }
         for query in due.cache_queries {
             let shared = Arc::clone(shared);
-            task::spawn(async move { exchange::inquire(&shared, query).await });
+            task::spawn(async move { exchange::fetch_cache_list(&shared, query).await });
         }
         for probe in due.probes {
             let shared = Arc::clone(shared);
--- a/crates/peridotdeck-relay/src/pool.rs
+++ b/crates/peridotdeck-relay/src/pool.rs
@@ -1,8 +1,8 @@
-//! Kept connections to endpoints.
+//! Connections to endpoints, and the pool that keeps idle ones for the next requests.
 //!
-//! A connection that saw anything odd is never used again: it is kept only after a whole answer. An
-//! idle one may be dead, so it is used only for as long as the endpoint says that it keeps it, and
-//! the kernel probes it meanwhile.
+//! A connection is kept only after a complete answer, so one that saw a fault is never used again.
+//! An idle connection may be dead. It is therefore used only within the endpoint's idle timeout,
+//! and the kernel probes it meanwhile.
 
 use std::{
     io,
@@ -29,41 +29,43 @@
 
 use crate::clock;
 
-/// Longest time to open a connection; a lost first packet is sent again only after a second.
-pub const CONNECT: Duration = Duration::from_millis(400);
+/// Longest time to open a connection.
+///
+/// The limit is below one second, after which TCP would first retransmit a lost first packet.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time without a sign of life after which the kernel probes a connection, and between probes.
-const PROBE: Duration = Duration::from_secs(1);
+/// Idle time before the kernel's first keepalive probe, and the time between two probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which a connection is dead.
-const PROBES: u32 = 3;
+/// Number of unanswered keepalive probes after which the kernel closes a connection.
+const KEEPALIVE_PROBES: u32 = 3;
 
-/// Time after which unacknowledged data prove a connection dead.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(5);
+/// Longest time for which sent data may stay unacknowledged before the kernel closes a connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time for which an idle connection is trusted.
-const TRUST: Duration = Duration::from_secs(4);
+/// Longest time for which an idle connection may wait for its next use.
+const MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// Part of the endpoint's own limit for idle connections that is used.
-const KEPT_PART: f64 = 0.7;
+/// Fraction of the endpoint's own idle timeout for which an idle connection may be used.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
-/// Longest idle time of a connection to an endpoint that does not say how long it keeps them.
-const UNSAID: Duration = Duration::from_millis(800);
+/// Longest idle time of a connection to an endpoint that announces no idle timeout.
+const DEFAULT_MAX_IDLE: Duration = Duration::from_millis(800);
 
-/// Idle connections kept for one endpoint.
-const MOST_KEPT: usize = 32;
+/// Largest number of idle connections that are kept for one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 32;
 
 quick_error! {
-    /// Why no connection was opened; nothing was sent.
+    /// Reason why a connection could not be opened; no request was sent.
     #[derive(Debug)]
     pub enum Error {
-        /// The peer refused, or cannot be reached.
+        /// The connection was refused, timed out, or a socket option could not be set.
         Connect(cause: io::Error) {
             display("cannot connect: {cause}")
             from()
             source(cause)
         }
-        /// The protocol could not be set up.
+        /// The HTTP client could not be set up on the connection.
         Handshake(cause: hyper::Error) {
             display("handshake failed: {cause}")
             from()
@@ -72,180 +74,187 @@
     }
 }
 
-/// Sets what makes a dead connection show.
+/// Sets the socket options that let the kernel detect a dead connection, and `TCP_NODELAY`.
 ///
 /// # Errors
 /// If the system refuses an option.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
-/// Opens a connection within [`CONNECT`].
+/// Opens a TCP connection within [`CONNECT_TIMEOUT`].
 ///
 /// # Errors
-/// If the peer refuses or does not answer in time.
+/// If the address refuses the connection or does not answer in time.
 pub async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
-    let connected = timeout(CONNECT, Async::<TcpStream>::connect(address)).await;
+    let connected = timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await;
     let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    tune(stream.get_ref())?;
+    set_options(stream.get_ref())?;
     Ok(stream)
 }
 
-/// Ends a connection's task, and with it the connection, when it is dropped.
+/// Guard that ends a connection's task, and so closes the connection, when it is dropped.
 #[derive(Debug)]
-struct Cord {
+struct CloseOnDrop {
     // Dropping the sender wakes the task.
-    _end: async_channel::Sender<()>,
+    _sender: async_channel::Sender<()>,
 }
 
-/// An open connection with nothing in progress, or the one that an exchange uses.
+/// An open connection to an endpoint, either idle or used by one exchange.
 #[derive(Debug)]
-pub struct Link {
-    /// Sends requests.
+pub struct Connection {
+    /// Sender of requests on this connection.
     pub sender: SendRequest<Full<Bytes>>,
-    busy: Arc<AtomicBool>,
-    _cord: Cord,
+    in_use: Arc<AtomicBool>,
+    _close_on_drop: CloseOnDrop,
 }
 
+/// An idle connection, and the times that limit its use.
 #[derive(Debug)]
-struct Kept {
-    link: Link,
+struct Idle {
+    connection: Connection,
     since: Time,
     until: Time,
 }
 
-impl Kept {
-    /// Returns whether both ends still keep the connection, as far as is known.
+impl Idle {
+    /// Returns whether the connection is open, as far as is known, and may still be used.
     fn is_open(&self, now: Time) -> bool {
-        !self.link.sender.is_closed() && self.until > now
+        !self.connection.sender.is_closed() && self.until > now
     }
 }
 
-/// Kept connections, sorted by endpoint; the newest of each endpoint comes last.
-type Table = Vec<(Key, Vec<Kept>)>;
+/// Idle connections, sorted by endpoint; the newest of each endpoint comes last.
+type Table = Vec<(Key, Vec<Idle>)>;
 
-/// Connections that wait for their next use, by endpoint.
+/// Idle connections to endpoints, kept for the next requests.
 #[derive(Debug, Default)]
 pub struct Pool {
-    kept: Mutex<Table>,
+    idle: Mutex<Table>,
 }
 
 impl Pool {
     fn table(&self) -> MutexGuard<'_, Table> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns a kept connection that has been idle for less than `fresh`.
+    /// Takes the newest connection to an endpoint that has been idle for less than `max_idle`.
     #[must_use]
-    pub fn reuse(&self, key: Key, fresh: Duration) -> Option<Link> {
+    pub fn reuse(&self, key: Key, max_idle: Duration) -> Option<Connection> {
         let now = clock::now();
         let mut table = self.table();
-        let at = table.binary_search_by_key(&key, |(each, _)| *each).ok()?;
-        let kept = &mut table[at].1;
-        kept.retain(|each| each.is_open(now));
-        let usable =
-            |each: &Kept| each.link.sender.is_ready() && now.saturating_sub(each.since) < fresh;
-        let at = kept.iter().rposition(usable)?;
-        let link = kept.remove(at).link;
-        link.busy.store(true, Ordering::Relaxed);
-        Some(link)
+        let index = table.binary_search_by_key(&key, |(key, _)| *key).ok()?;
+        let idle = &mut table[index].1;
+        idle.retain(|entry| entry.is_open(now));
+        let usable = |entry: &Idle| {
+            entry.connection.sender.is_ready() && now.saturating_sub(entry.since) < max_idle
+        };
+        let index = idle.iter().rposition(usable)?;
+        let connection = idle.remove(index).connection;
+        connection.in_use.store(true, Ordering::Relaxed);
+        Some(connection)
     }
 
-    /// Keeps a connection after a whole answer; `limit` is how long the endpoint says it does.
-    pub fn keep(&self, key: Key, link: Link, limit: Option<Duration>) {
-        if link.sender.is_closed() {
+    /// Keeps a connection after a complete answer.
+    ///
+    /// `limit` is the idle timeout that the endpoint announced. If the endpoint has too many idle
+    /// connections, the oldest is closed.
+    pub fn keep(&self, key: Key, connection: Connection, limit: Option<Duration>) {
+        if connection.sender.is_closed() {
             return;
         }
         let now = clock::now();
-        let trust = limit.map_or(UNSAID, |limit| limit.mul_f64(KEPT_PART).min(TRUST));
-        link.busy.store(false, Ordering::Relaxed);
+        let max_idle = limit.map_or(DEFAULT_MAX_IDLE, |limit| {
+            limit.mul_f64(KEEP_ALIVE_FRACTION).min(MAX_IDLE)
+        });
+        connection.in_use.store(false, Ordering::Relaxed);
         let mut table = self.table();
-        let at = match table.binary_search_by_key(&key, |(each, _)| *each) {
-            Ok(at) => at,
-            Err(at) => {
-                table.insert(at, (key, Vec::new()));
-                at
+        let index = match table.binary_search_by_key(&key, |(key, _)| *key) {
+            Ok(index) => index,
+            Err(index) => {
+                table.insert(index, (key, Vec::new()));
+                index
             }
         };
-        let kept = &mut table[at].1;
-        if kept.len() == MOST_KEPT {
-            kept.remove(0);
+        let idle = &mut table[index].1;
+        if idle.len() == MAX_IDLE_PER_ENDPOINT {
+            idle.remove(0);
         }
-        kept.push(Kept {
-            link,
+        idle.push(Idle {
+            connection,
             since: now,
-            until: now + trust,
+            until: now + max_idle,
         });
     }
 
-    /// Closes the connections to an endpoint.
-    pub fn forget(&self, key: Key) {
+    /// Closes the idle connections to an endpoint.
+    pub fn close(&self, key: Key) {
         let mut table = self.table();
-        table.retain(|(each, _)| *each != key);
+        table.retain(|(other, _)| *other != key);
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes the connections that have been idle for too long.
     pub fn expire(&self) {
         let now = clock::now();
         let mut table = self.table();
-        for (_, kept) in table.iter_mut() {
-            kept.retain(|each| each.is_open(now));
+        for (_, idle) in table.iter_mut() {
+            idle.retain(|entry| entry.is_open(now));
         }
-        table.retain(|(_, kept)| !kept.is_empty());
+        table.retain(|(_, idle)| !idle.is_empty());
     }
 
-    /// Returns the number of kept connections.
+    /// Returns the number of idle connections.
     #[must_use]
     pub fn len(&self) -> usize {
         let table = self.table();
-        table.iter().map(|(_, kept)| kept.len()).sum()
+        table.iter().map(|(_, idle)| idle.len()).sum()
     }
 
-    /// Returns whether no connection is kept.
+    /// Returns whether no connection is idle.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Opens a new connection; `lost` is called if it breaks while nothing is in progress.
+/// Opens a connection, and calls `on_broken` if it breaks while no request uses it.
 ///
 /// # Errors
-/// If no connection was opened; nothing was sent.
-pub async fn dial<F>(address: SocketAddrV4, lost: F) -> Result<Link, Error>
+/// If the connection cannot be opened; no request was sent then.
+pub async fn dial<F>(address: SocketAddrV4, on_broken: F) -> Result<Connection, Error>
 where
     F: FnOnce() + Send + 'static,
 {
     let stream = connect(address.into()).await?;
-    // A connection that is dropped is reset: an orderly close would go on sending what has not been
-    // delivered, long after the request was given up.
+    // Reset the connection on drop: an orderly close would go on sending undelivered data long
+    // after the request was abandoned.
     SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO))?;
-    let (sender, connection) = http1::handshake(FuturesIo::new(stream)).await?;
-    let (end, ended) = async_channel::bounded::<()>(1);
-    let busy = Arc::new(AtomicBool::new(true));
-    let in_use = Arc::clone(&busy);
+    let (sender, driver) = http1::handshake(FuturesIo::new(stream)).await?;
+    let (close, closed) = async_channel::bounded::<()>(1);
+    let in_use = Arc::new(AtomicBool::new(true));
+    let task_in_use = Arc::clone(&in_use);
     async_std::task::spawn(async move {
-        let work = async { connection.await.is_err() };
-        let cut = async {
+        let work = async { driver.await.is_err() };
+        let close = async {
             // An error means that the sender was dropped.
-            let _ = ended.recv().await;
+            let _ = closed.recv().await;
             false
         };
-        let broken = future::or(work, cut).await;
-        if broken && !in_use.load(Ordering::Relaxed) {
-            lost();
+        let broken = future::or(work, close).await;
+        if broken && !task_in_use.load(Ordering::Relaxed) {
+            on_broken();
         }
     });
-    Ok(Link {
+    Ok(Connection {
         sender,
-        busy,
-        _cord: Cord { _end: end },
+        in_use,
+        _close_on_drop: CloseOnDrop { _sender: close },
     })
 }
--- a/crates/peridotdeck-relay/src/server.rs
+++ b/crates/peridotdeck-relay/src/server.rs
@@ -28,13 +28,13 @@
 use crate::{clock, pool};
 
 /// Connections that the system queues until they are accepted.
-const BACKLOG: i32 = 1_024;
+const ACCEPT_BACKLOG: i32 = 1_024;
 
 /// Rest after a failed accept, which usually means that file descriptors ran out.
-const REST: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Smallest buffer that the protocol library takes.
-const LEAST_HEAD_BYTES: usize = 8 << 10;
+const MIN_HEAD_BUFFER_BYTES: usize = 8 << 10;
 
 /// Limits of a connection, as they are now.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
     /// Bytes of a head.
     pub head_bytes: usize,
     /// Longest time without a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What a connection is doing.
@@ -128,7 +128,7 @@
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Async::new(TcpListener::from(socket))
 }
 
@@ -167,7 +167,7 @@
             }
             Err(cause) => {
                 log::warn!("event=accept_failed cause=\"{cause}\"");
-                Timer::after(REST).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -193,7 +193,7 @@
     B: Body<Data = Bytes> + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    pool::tune(stream.get_ref())?;
+    pool::set_options(stream.get_ref())?;
     let activity = Arc::new(Activity::new());
     let service = service_fn(|request| {
         let busy = Busy::new(&activity);
@@ -207,7 +207,7 @@
         }
     });
     let connection = http1::Builder::new()
-        .max_buf_size(limits().head_bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(limits().head_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = async { Stop::Ended(connection.as_mut().await) };
@@ -234,7 +234,7 @@
 
 async fn wait_idle(activity: &Activity, limits: &impl Fn() -> Limits) {
     loop {
-        let limit = limits().idle;
+        let limit = limits().idle_timeout;
         match activity.idle() {
             Some(idle) if idle >= limit => return,
             Some(idle) => Timer::after(limit.saturating_sub(idle)).await,
--- a/crates/peridotdeck-relay/src/shared.rs
+++ b/crates/peridotdeck-relay/src/shared.rs
@@ -80,7 +80,7 @@
     /// Logs that an endpoint left the list and closes its connections.
     pub fn note_removed(&self, endpoint: &Endpoint, source: &str) {
         log_endpoint("endpoint_removed", endpoint, source);
-        self.pool.forget(endpoint.key());
+        self.pool.close(endpoint.key());
     }
 
     fn area(&self, area: Area) -> &AtomicU32 {
--- a/crates/peridotdeck-relay/src/stream.rs
+++ b/crates/peridotdeck-relay/src/stream.rs
@@ -24,7 +24,7 @@
     Ingress, clock,
     exchange::Failure,
     forwarding::{Forwarding, Started},
-    pool::Link,
+    pool::Connection,
 };
 
 /// Bytes without the end of an event after which they are passed on as they are.
@@ -46,7 +46,7 @@
 pub struct Relay<I: Ingress> {
     forwarding: Forwarding<I>,
     key: Key,
-    link: Option<Link>,
+    connection: Option<Connection>,
     keep_alive: Option<Duration>,
     body: Option<Incoming>,
     events: Events,
@@ -62,7 +62,7 @@
         Self {
             forwarding,
             key,
-            link: Some(started.link),
+            connection: Some(started.connection),
             keep_alive: started.keep_alive,
             body: started.body,
             events: started.events,
@@ -94,7 +94,7 @@
     /// Returns the next whole events, or none after the last.
     async fn next(&mut self) -> Result<Option<Bytes>, Cut> {
         loop {
-            if let Some(bytes) = self.events.take() {
+            if let Some(bytes) = self.events.take_complete() {
                 self.note_sent();
                 return Ok(Some(bytes));
             }
@@ -133,20 +133,20 @@
 
     /// The endpoint has ended the stream well; whatever is left belongs to it.
     fn complete(&mut self) -> Option<Bytes> {
-        if let Some(link) = self.link.take() {
+        if let Some(connection) = self.connection.take() {
             let pool = &self.forwarding.shared.pool;
-            pool.keep(self.key, link, self.keep_alive);
+            pool.keep(self.key, connection, self.keep_alive);
             self.forwarding.finish(End::Finished, "");
             self.forwarding.note_whole();
             self.forwarding.end("answered", 200, "");
         }
-        self.events.rest()
+        self.events.take_rest()
     }
 
     /// Goes on at another endpoint, or cuts the stream.
     async fn recover(&mut self, failure: &Failure) -> Result<(), Cut> {
         // Closing the connection ends the work of the endpoint before another one goes on.
-        self.link = None;
+        self.connection = None;
         self.body = None;
         self.forwarding.finish(failure.end, &failure.cause);
         let flight = &self.forwarding.flight;
@@ -172,7 +172,7 @@
     fn go_on(&mut self, key: Key, started: Started) {
         self.forwarding.note_read();
         self.key = key;
-        self.link = Some(started.link);
+        self.connection = Some(started.connection);
         self.keep_alive = started.keep_alive;
         self.body = started.body;
         let last = self.events.last.take();
@@ -210,7 +210,7 @@
     }
 
     /// Takes all whole events.
-    pub fn take(&mut self) -> Option<Bytes> {
+    pub fn take_complete(&mut self) -> Option<Bytes> {
         let end = match end_of_events(&self.pending) {
             Some(end) => end,
             None if self.pending.len() > MOST_PENDING => self.pending.len(),
@@ -225,14 +225,14 @@
     }
 
     /// Takes everything, because nothing more comes.
-    pub fn rest(&mut self) -> Option<Bytes> {
+    pub fn take_rest(&mut self) -> Option<Bytes> {
         let rest = std::mem::take(&mut self.pending);
         (!rest.is_empty()).then(|| Bytes::from(rest))
     }
 
     /// Returns whether a whole event can be taken.
     #[must_use]
-    pub fn has_whole(&self) -> bool {
+    pub fn has_complete(&self) -> bool {
         end_of_events(&self.pending).is_some() || self.pending.len() > MOST_PENDING
     }
 
