--- a/crates/peridotdeck-core/benches/decision.rs
+++ b/crates/peridotdeck-core/benches/decision.rs
@@ -104,10 +104,10 @@
             queued: 0,
             warm: true,
         };
-        scheduler.report(endpoint, report, NOW, &mut out);
+        scheduler.handle_report(endpoint, report, NOW, &mut out);
     }
     for attempt in 0..pool.endpoints.len() as u64 * 4 {
-        scheduler.ask(1, ask(attempt, id), NOW, &mut out);
+        scheduler.handle_ask(1, ask(attempt, id), NOW, &mut out);
     }
     (scheduler, id)
 }
@@ -120,7 +120,7 @@
         bencher.iter(|| {
             attempt += 1;
             let mut out = Vec::new();
-            scheduler.ask(1, ask(attempt, pool), NOW, &mut out);
+            scheduler.handle_ask(1, ask(attempt, pool), NOW, &mut out);
             let done = Done {
                 attempt,
                 pool,
@@ -130,7 +130,7 @@
                 first_ms: 30,
                 gap_us: 0,
             };
-            scheduler.done(&done, NOW, &mut out);
+            scheduler.handle_done(&done, NOW, &mut out);
             black_box(out)
         });
     });
--- a/crates/peridotdeck-core/src/claim.rs
+++ b/crates/peridotdeck-core/src/claim.rs
@@ -15,7 +15,7 @@
 use peridotdeck_policy::digest_name;
 use peridotdeck_wire::Member;
 
-use crate::{id, rank};
+use crate::{id, rendezvous};
 
 /// Witnesses of a key.
 pub const WITNESSES: usize = 3;
@@ -33,8 +33,8 @@
         let nodes = staying()
             .filter(|member| member.place == place)
             .map(|member| member.node);
-        let place_weight = rank::weight(digest, digest_name(place) as u32);
-        for (round, node) in rank::order(digest, nodes)
+        let place_weight = rendezvous::weight(digest, digest_name(place) as u32);
+        for (round, node) in rendezvous::order(digest, nodes)
             .into_iter()
             .take(WITNESSES)
             .enumerate()
@@ -42,7 +42,7 @@
             ranked.push((
                 round,
                 u64::MAX - place_weight,
-                u64::MAX - rank::weight(digest, node),
+                u64::MAX - rendezvous::weight(digest, node),
                 node,
             ));
         }
--- a/crates/peridotdeck-core/src/dispatch/fleet.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet.rs
@@ -17,7 +17,7 @@
 use telling::round_time;
 
 use super::{Key, Node, Place, Prefix, endpoint::Load};
-use crate::{id::Time, rank};
+use crate::{id::Time, rendezvous};
 
 /// Silence after which a peer of the own data centre counts as dead.
 const DEAD: Duration = Duration::from_millis(1_500);
@@ -226,7 +226,7 @@
     pub fn is_among(&self, count: usize, key: Key, now: Time) -> bool {
         let nodes = self.live(self.place, now);
         let numbers = nodes.iter().map(|&node| u32::from(node));
-        let order = rank::order(u64::from(key), numbers);
+        let order = rendezvous::order(u64::from(key), numbers);
         order
             .iter()
             .take(count)
--- a/crates/peridotdeck-core/src/engine.rs
+++ b/crates/peridotdeck-core/src/engine.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, IntoStaticStr};
 
-use crate::{id, size::Mean};
+use crate::{id, mean::Mean};
 
 /// First pause after a failure; it doubles with each further failure.
 const BACKOFF: Duration = Duration::from_millis(500);
@@ -357,7 +357,7 @@
     }
 
     /// Learns from a load report.
-    pub fn report(&mut self, report: Report, now: id::Time) {
+    pub fn handle_report(&mut self, report: Report, now: id::Time) {
         let restarted = self.report.is_some_and(|(old, _)| old.boot != report.boot);
         self.report = Some((report, now));
         let down = matches!(self.phase, Phase::Down { .. });
--- a/crates/peridotdeck-core/src/flight/candidate.rs
+++ b/crates/peridotdeck-core/src/flight/candidate.rs
@@ -5,7 +5,7 @@
 use peridotdeck_policy::{Pool, Snapshot};
 
 use super::{Flight, Scene};
-use crate::{id, member::View, pool::patience, request::Call};
+use crate::{id, member::View, pool::queue_timeout, request::Call};
 
 /// Delay in milliseconds of a pool in the own region that is not the nearest.
 const REGION_PATH_MS: u64 = 2;
@@ -45,7 +45,7 @@
     let Some(class) = snapshot.class(&call.class) else {
         return Vec::new();
     };
-    let slack_ms = patience(class).saturating_sub(waited).as_millis() as u64;
+    let slack_ms = queue_timeout(class).saturating_sub(waited).as_millis() as u64;
     let open = snapshot
         .pools()
         .iter()
--- a/crates/peridotdeck-core/src/flight/desk.rs
+++ b/crates/peridotdeck-core/src/flight/desk.rs
@@ -15,9 +15,10 @@
 
 use super::{Flight, Outbox, Scene, Stage};
 use crate::{
-    Action, claim, id, limit, poison,
+    Action, claim, id, limit,
+    output_size::Estimator,
+    quarantine,
     request::{Call, Cause, Refusal},
-    size::Estimate,
 };
 
 /// Time between two asks of a request that waits at its owner.
@@ -71,9 +72,9 @@
 pub struct Desk {
     flights: Vec<Flight>,
     limits: limit::Table,
-    retries: limit::Retries,
-    sizes: Estimate,
-    poison: poison::List,
+    retries: limit::RetryBudgets,
+    sizes: Estimator,
+    poison: quarantine::List,
     settlements: Vec<Settlement>,
     statements: Vec<Statement>,
     proofs: Vec<Proof>,
@@ -88,9 +89,9 @@
         Self {
             flights: Vec::new(),
             limits: limit::Table::default(),
-            retries: limit::Retries::default(),
-            sizes: Estimate::default(),
-            poison: poison::List::default(),
+            retries: limit::RetryBudgets::default(),
+            sizes: Estimator::default(),
+            poison: quarantine::List::default(),
             settlements: Vec::new(),
             statements: Vec::new(),
             proofs: Vec::new(),
@@ -119,7 +120,7 @@
 
     /// Returns the requests that crash endpoints.
     #[must_use]
-    pub fn poison(&self) -> &poison::List {
+    pub fn poison(&self) -> &quarantine::List {
         &self.poison
     }
 
--- a/crates/peridotdeck-core/src/flight/desk/asking.rs
+++ b/crates/peridotdeck-core/src/flight/desk/asking.rs
@@ -10,7 +10,7 @@
     Action, Verdict,
     flight::{Asking, Outbox, Running, Scene, Stage, candidate::choose},
     id,
-    pool::patience,
+    pool::queue_timeout,
     request::{Cause, Refusal},
 };
 
@@ -51,11 +51,11 @@
             organisation: call.organisation.clone(),
             tokens: self
                 .sizes
-                .tokens(&call.class, &call.organisation, call.max_tokens),
+                .estimate(&call.class, &call.organisation, call.max_tokens),
             prompt: call.prompt,
             prefix: call.prefix,
             fingerprint: call.fingerprint,
-            strikes: self.poison.strikes(call.fingerprint) as u8,
+            strikes: self.poison.crashes(call.fingerprint) as u8,
             waited_ms: waited.as_millis() as u32,
             avoid: flight.avoid.clone(),
         };
@@ -67,8 +67,8 @@
     pub(super) fn find_no_pool(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
         let flight = &mut self.flights[at];
         let class = scene.snapshot.class(&flight.call.class);
-        let waits =
-            class.is_some_and(|class| class.bulk || flight.waited(scene.now) < patience(class));
+        let waits = class
+            .is_some_and(|class| class.bulk || flight.waited(scene.now) < queue_timeout(class));
         if waits {
             flight.refused.clear();
             return self.rest(at, REST, scene);
--- a/crates/peridotdeck-core/src/flight/desk/running.rs
+++ b/crates/peridotdeck-core/src/flight/desk/running.rs
@@ -9,7 +9,7 @@
     event::End,
     flight::{Outbox, Running, Scene, Stage},
     id,
-    poison::QUARANTINE_STRIKES,
+    quarantine::CRASH_LIMIT,
     request::{Cause, Refusal},
 };
 
@@ -91,8 +91,8 @@
     ) {
         let flight = &self.flights[at];
         let (call, total) = (&flight.call, flight.delivered);
-        self.sizes.learn(&call.class, &call.organisation, total);
-        if self.poison.strikes(call.fingerprint) > 0 {
+        self.sizes.observe(&call.class, &call.organisation, total);
+        if self.poison.crashes(call.fingerprint) > 0 {
             let fingerprint = call.fingerprint;
             self.poison.clear(fingerprint);
             broadcast(
@@ -183,7 +183,9 @@
         flight.may_have_run = true;
         let fingerprint = flight.call.fingerprint;
         if outcome == Outcome::Broken
-            && self.poison.strike(fingerprint, running.endpoint, scene.now)
+            && self
+                .poison
+                .record_crash(fingerprint, running.endpoint, scene.now)
         {
             let endpoint = running.endpoint;
             broadcast(
@@ -197,7 +199,7 @@
             );
         }
         let flight = &self.flights[at];
-        let quarantined = self.poison.strikes(fingerprint) >= QUARANTINE_STRIKES;
+        let quarantined = self.poison.crashes(fingerprint) >= CRASH_LIMIT;
         let continues = flight.delivered == 0 || flight.call.resumable;
         if flight.call.repeatable && continues && !quarantined {
             return self.retry(at, running.endpoint, scene, out);
--- a/crates/peridotdeck-core/src/flight/desk/upkeep.rs
+++ b/crates/peridotdeck-core/src/flight/desk/upkeep.rs
@@ -7,7 +7,7 @@
 use super::{Desk, KEEPALIVE, SHARERS, Statement};
 use crate::{
     flight::{Asking, Flight, Outbox, Running, Scene, Stage, candidate::choose},
-    id, rank,
+    id, rendezvous,
 };
 
 /// Time after which an unanswered ask is sent again.
@@ -31,7 +31,8 @@
         if strike.cleared {
             self.poison.clear(strike.fingerprint);
         } else {
-            self.poison.strike(strike.fingerprint, strike.endpoint, now);
+            self.poison
+                .record_crash(strike.fingerprint, strike.endpoint, now);
             self.disprove(strike.endpoint);
         }
     }
@@ -111,7 +112,8 @@
         let pool = scene.snapshot.pool(asking.pool)?;
         let ranks = |endpoint: id::Endpoint| {
             let live = scene.view.live(&pool.place).iter().copied();
-            let order = rank::order(endpoint.into(), live.filter(|&node| node != asking.owner));
+            let order =
+                rendezvous::order(endpoint.into(), live.filter(|&node| node != asking.owner));
             order
                 .iter()
                 .take(SHARERS)
@@ -186,7 +188,7 @@
     /// Returns the requests that a customer has in progress here.
     #[must_use]
     pub fn open(&self, organisation: &str) -> u32 {
-        self.limits.open(organisation)
+        self.limits.in_progress(organisation)
     }
 
     /// Checks the counts that must agree.
--- a/crates/peridotdeck-core/src/lib.rs
+++ b/crates/peridotdeck-core/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`claim`]: at most one run of a call that may not be repeated;
 //! - [`pool`]: the queue and the slots of a group of endpoints, held by one owner node;
 //! - [`engine`]: what the owner knows about one endpoint;
-//! - [`poison`]: requests that crash endpoints;
+//! - [`quarantine`]: requests that crash endpoints;
 //! - [`member`]: which peers are alive, and who owns what;
 //! - [`book`]: the configuration in force.
 //!
@@ -26,16 +26,17 @@
 pub mod flight;
 pub mod id;
 pub mod limit;
+pub mod mean;
 pub mod member;
 pub mod node;
+pub mod output_size;
 pub mod owner;
-pub mod poison;
 pub mod pool;
+pub mod quarantine;
 pub mod queue;
-pub mod rank;
 pub mod refusal;
+pub mod rendezvous;
 pub mod request;
-pub mod size;
 pub mod strategy;
 pub mod verdict;
 
--- a/crates/peridotdeck-core/src/limit.rs
+++ b/crates/peridotdeck-core/src/limit.rs
@@ -109,7 +109,7 @@
 
     /// Returns a customer's requests in progress.
     #[must_use]
-    pub fn open(&self, name: &str) -> u32 {
+    pub fn in_progress(&self, name: &str) -> u32 {
         self.find(name).map_or(0, |at| self.holders[at].1.open)
     }
 
@@ -134,11 +134,11 @@
 /// Retry budgets by class: a share of the first attempts, so that retries never multiply an
 /// overload.
 #[derive(Clone, Debug, Default)]
-pub struct Retries {
+pub struct RetryBudgets {
     budgets: Vec<(String, f64)>,
 }
 
-impl Retries {
+impl RetryBudgets {
     /// Retries that a class may make before its first attempts earn more.
     const START: f64 = 3.0;
     /// Largest saved budget in retries.
--- a/crates/peridotdeck-core/src/member.rs
+++ b/crates/peridotdeck-core/src/member.rs
@@ -11,7 +11,7 @@
 use peridotdeck_wire::{Beat, Member, Summary};
 use rand::{Rng, rngs::SmallRng, seq::IndexedRandom};
 
-use crate::{id, rank};
+use crate::{id, rendezvous};
 
 /// Time between two rounds of gossip.
 pub const GOSSIP: Duration = Duration::from_millis(500);
@@ -349,14 +349,14 @@
     /// Returns the node that schedules a pool.
     #[must_use]
     pub fn owner(&self, pool: &Pool) -> Option<id::Node> {
-        rank::first(pool.id, self.live(&pool.place).iter().copied())
+        rendezvous::first(pool.id, self.live(&pool.place).iter().copied())
     }
 
     /// Returns whether this node watches the configuration service for its data centre.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         let live = self.live(&self.place).iter().copied();
-        let order = rank::order(WATCH_KEY ^ digest_name(&self.place), live);
+        let order = rendezvous::order(WATCH_KEY ^ digest_name(&self.place), live);
         order.iter().take(WATCHERS).any(|&node| node == self.me)
     }
 
--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -556,7 +556,7 @@
         if first && !alone {
             let nonce = self.spread.nonce();
             let peers: Vec<id::Node> = self.view.members().iter().map(|each| each.node).collect();
-            let order = crate::rank::order(
+            let order = crate::rendezvous::order(
                 nonce,
                 peers.into_iter().filter(|&node| node != self.view.me()),
             );
--- a/crates/peridotdeck-core/src/size.rs
+++ b/crates/peridotdeck-core/src/output_size.rs
@@ -1,23 +1,20 @@
 //! Output sizes, estimated from what a class and customer produced before.
 
-use crate::id;
+use crate::mean::NEWEST_WEIGHT;
 
-/// Weight of the newest answer in the running mean.
-const NEWEST: f64 = 0.1;
-
-/// Estimate in tokens before the first answer of a class.
+/// Estimator in tokens before the first answer of a class.
 const UNKNOWN_TOKENS: f64 = 128.0;
 
 /// Running means by class and customer, and by class alone.
 #[derive(Clone, Debug, Default)]
-pub struct Estimate {
+pub struct Estimator {
     means: Vec<((String, String), f64)>,
 }
 
-impl Estimate {
+impl Estimator {
     /// Returns the expected output in tokens.
     #[must_use]
-    pub fn tokens(&self, class: &str, organisation: &str, max_tokens: u32) -> u32 {
+    pub fn estimate(&self, class: &str, organisation: &str, max_tokens: u32) -> u32 {
         let mean = self
             .mean(class, organisation)
             .or_else(|| self.mean(class, ""))
@@ -31,7 +28,7 @@
     }
 
     /// Learns from a whole answer.
-    pub fn learn(&mut self, class: &str, organisation: &str, tokens: u32) {
+    pub fn observe(&mut self, class: &str, organisation: &str, tokens: u32) {
         self.update(class, organisation, tokens);
         self.update(class, "", tokens);
     }
@@ -50,7 +47,7 @@
 
     fn update(&mut self, class: &str, organisation: &str, tokens: u32) {
         match self.find(class, organisation) {
-            Ok(at) => self.means[at].1 += NEWEST * (f64::from(tokens) - self.means[at].1),
+            Ok(at) => self.means[at].1 += NEWEST_WEIGHT * (f64::from(tokens) - self.means[at].1),
             Err(at) => {
                 let key = (class.to_owned(), organisation.to_owned());
                 self.means.insert(at, (key, f64::from(tokens)));
@@ -58,31 +55,3 @@
         }
     }
 }
-
-/// A running mean of durations in milliseconds.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Mean {
-    value: Option<f64>,
-}
-
-impl Mean {
-    /// Returns the mean in milliseconds once there is a sample.
-    #[must_use]
-    pub fn value(&self) -> Option<f64> {
-        self.value
-    }
-
-    /// Adds a sample.
-    pub fn add(&mut self, sample: id::Time) {
-        self.add_with(sample, NEWEST);
-    }
-
-    /// Adds a sample with its own weight, for means that must follow a change within few samples.
-    pub fn add_with(&mut self, sample: id::Time, newest: f64) {
-        let sample = sample.as_secs_f64() * 1e3;
-        self.value = Some(
-            self.value
-                .map_or(sample, |old| old + newest * (sample - old)),
-        );
-    }
-}
--- a/crates/peridotdeck-core/src/owner.rs
+++ b/crates/peridotdeck-core/src/owner.rs
@@ -8,7 +8,7 @@
 use crate::{
     Strategy, engine, id,
     member::View,
-    pool::{Counts, Reply, Scheduler},
+    pool::{Counts, Message, Scheduler},
 };
 
 /// Age after which a handover says nothing about the present.
@@ -56,14 +56,14 @@
         view: &View,
         snapshot: &Arc<Snapshot>,
         now: id::Time,
-        out: &mut Vec<Reply>,
+        out: &mut Vec<Message>,
     ) {
         let live = view.live(view.place());
         let changed = self.live != live;
         for pool in &mut self.pools {
-            pool.forget_silent(view, now);
+            pool.drop_silent_nodes(view, now);
             if changed {
-                pool.settle_longer(now);
+                pool.extend_settling(now);
             }
         }
         self.live = live.to_vec();
@@ -77,7 +77,7 @@
             let next = snapshot
                 .pool(pool.pool().id)
                 .and_then(|pool| view.owner(pool));
-            pool.retire(next.filter(|&next| Some(next) != me), out);
+            pool.hand_over(next.filter(|&next| Some(next) != me), out);
             add(&mut self.past, pool.counts());
         }
         for pool in snapshot
@@ -92,7 +92,7 @@
                 let handover = self.take_handover(pool.id);
                 let mut scheduler = Scheduler::new(pool, snapshot, self.strategy, now);
                 if let Some(handover) = handover {
-                    scheduler.inherit(&handover, now);
+                    scheduler.handle_handover(&handover, now);
                 }
                 self.pools.insert(at, scheduler);
             }
@@ -113,7 +113,7 @@
             each.pool != handover.pool && now.saturating_sub(*at) < HANDOVER_AGE
         });
         match self.find(handover.pool) {
-            Ok(at) => self.pools[at].inherit(&handover, now),
+            Ok(at) => self.pools[at].handle_handover(&handover, now),
             Err(_) => self.handovers.push((handover, now)),
         }
     }
@@ -138,9 +138,9 @@
     }
 
     /// Handles a request for a slot.
-    pub fn ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Message>) {
         if let Ok(at) = self.find(ask.pool) {
-            return self.pools[at].ask(node, ask, now, out);
+            return self.pools[at].handle_ask(node, ask, now, out);
         }
         let deny = Deny {
             attempt: ask.attempt,
@@ -151,23 +151,29 @@
     }
 
     /// Takes a slot back.
-    pub fn done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Message>) {
         if let Ok(at) = self.find(done.pool) {
-            self.pools[at].done(done, now, out);
+            self.pools[at].handle_done(done, now, out);
         }
     }
 
     /// Learns of slots in use.
-    pub fn hold(&mut self, node: id::Node, holding: &Holding, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn hold(
+        &mut self,
+        node: id::Node,
+        holding: &Holding,
+        now: id::Time,
+        out: &mut Vec<Message>,
+    ) {
         if let Ok(at) = self.find(holding.pool) {
-            self.pools[at].hold(node, &holding.held, now, out);
+            self.pools[at].handle_holding(node, &holding.held, now, out);
         }
     }
 
     /// Frees what a dead node held.
-    pub fn forget(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn forget(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Message>) {
         for pool in &mut self.pools {
-            pool.forget(node, now, out);
+            pool.forget_node(node, now, out);
         }
     }
 
@@ -177,17 +183,17 @@
         endpoint: id::Endpoint,
         report: engine::Report,
         now: id::Time,
-        out: &mut Vec<Reply>,
+        out: &mut Vec<Message>,
     ) {
         for pool in &mut self.pools {
             if pool.pool().endpoints.binary_search(&endpoint).is_ok() {
-                pool.report(endpoint, report, now, out);
+                pool.handle_report(endpoint, report, now, out);
             }
         }
     }
 
     /// Lets time pass in every pool.
-    pub fn tick(&mut self, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn tick(&mut self, now: id::Time, out: &mut Vec<Message>) {
         for pool in &mut self.pools {
             pool.tick(now, out);
         }
@@ -218,7 +224,7 @@
     /// If they do not, which is a fault of this program.
     pub fn check(&self) {
         for pool in &self.pools {
-            pool.check();
+            pool.check_invariants();
         }
     }
 }
--- a/crates/peridotdeck-core/src/pool.rs
+++ b/crates/peridotdeck-core/src/pool.rs
@@ -15,14 +15,15 @@
 use peridotdeck_wire::{Ask, Body, Deny, Done, Grant, Held, Outcome, Queued, Reason, Summary};
 
 use crate::{
-    engine, id, poison,
+    engine, id,
+    mean::Mean,
+    quarantine,
     queue::{Entry, Queue},
-    size::Mean,
     strategy::Strategy,
 };
 
 /// Time for which a new owner does not trust its own count.
-pub const SETTLE: Duration = Duration::from_secs(3);
+pub const SETTLE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Time after which a slot is free again if its holder no longer states that it holds it, or a
 /// request is dropped whose node is silent. Holders state their slots every two seconds.
@@ -41,7 +42,7 @@
 const MAX_PREEMPTIONS: u8 = 3;
 
 /// Message to the entry node of an attempt.
-pub type Reply = (id::Node, Body);
+pub type Message = (id::Node, Body);
 
 /// One slot in use.
 #[derive(Clone, Debug)]
@@ -110,7 +111,7 @@
             engines: Vec::new(),
             queue: Queue::default(),
             runs: Vec::new(),
-            settled: now + SETTLE,
+            settled: now + SETTLE_PERIOD,
             last_interactive: None,
             busy: Mean::default(),
             turn: 0,
@@ -172,7 +173,7 @@
     }
 
     /// Handles a request for a slot.
-    pub fn ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn handle_ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Message>) {
         if let Some(run) = self.runs.iter().find(|run| run.attempt == ask.attempt) {
             // The grant was lost on its way; the same grant again is harmless.
             out.push((
@@ -219,19 +220,19 @@
             weight: organisation.weight,
             class: ask.class,
             organisation: ask.organisation,
-            tokens: ask.tokens,
-            prompt: ask.prompt,
+            output_tokens: ask.tokens,
+            prompt_tokens: ask.prompt,
             prefix: ask.prefix,
             fingerprint: ask.fingerprint,
-            strikes: ask.strikes,
+            crashes: ask.strikes,
             avoid: ask.avoid,
-            since: now.saturating_sub(Duration::from_millis(ask.waited_ms.into())),
+            arrived: now.saturating_sub(Duration::from_millis(ask.waited_ms.into())),
         })
     }
 
     /// Refuses at the door what cannot be served in time; later it would cost more.
     fn refuse(&mut self, entry: &Entry, now: id::Time) -> Option<Body> {
-        if usize::from(entry.strikes) >= poison::QUARANTINE_STRIKES {
+        if usize::from(entry.crashes) >= quarantine::CRASH_LIMIT {
             return Some(deny(entry.attempt, Reason::Quarantined, Duration::ZERO));
         }
         if self
@@ -251,9 +252,9 @@
         }
         let class = self.snapshot.class(&entry.class)?;
         let wait = self.wait(entry.tier, now);
-        let waited = now.saturating_sub(entry.since);
+        let waited = now.saturating_sub(entry.arrived);
         // A slot that is free, or that bulk can give up, is never refused, however late it is.
-        if wait.is_zero() || waited + wait <= patience(class) {
+        if wait.is_zero() || waited + wait <= queue_timeout(class) {
             return None;
         }
         // The expected wait counts preemptible bulk as free, so nothing is shed to spare bulk.
@@ -313,7 +314,7 @@
     }
 
     /// Takes a slot back, or removes a request that still waits.
-    pub fn done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn handle_done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Message>) {
         self.queue.remove(done.attempt);
         if let Some(at) = self.runs.iter().position(|run| run.attempt == done.attempt) {
             let run = self.runs.swap_remove(at);
@@ -360,21 +361,21 @@
     }
 
     /// Learns from a load report.
-    pub fn report(
+    pub fn handle_report(
         &mut self,
         endpoint: id::Endpoint,
         report: engine::Report,
         now: id::Time,
-        out: &mut Vec<Reply>,
+        out: &mut Vec<Message>,
     ) {
         if let Some(state) = self.engines.iter_mut().find(|state| state.id() == endpoint) {
-            state.report(report, now);
+            state.handle_report(report, now);
         }
         self.pump(now, out);
     }
 
     /// Ends rests, marks slow endpoints, and refuses what has no endpoint left.
-    pub fn tick(&mut self, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn tick(&mut self, now: id::Time, out: &mut Vec<Message>) {
         let medians = self.medians();
         for state in &mut self.engines {
             state.tick(now);
@@ -391,7 +392,7 @@
     /// Refuses interactive requests that have missed their target while they waited: serving them
     /// would make others late too. What still waits here after the pump found neither a free slot
     /// nor bulk to displace.
-    fn refuse_late(&mut self, now: id::Time, out: &mut Vec<Reply>) {
+    fn refuse_late(&mut self, now: id::Time, out: &mut Vec<Message>) {
         let coming = self.runs.iter().any(|run| run.stopping);
         if self.strategy.is_baseline() || coming || self.preemptible() > 0 {
             return;
@@ -400,7 +401,8 @@
         let is_late = |entry: &Entry| {
             let class = snapshot.class(&entry.class);
             !entry.bulk
-                && class.is_some_and(|class| now.saturating_sub(entry.since) > patience(class))
+                && class
+                    .is_some_and(|class| now.saturating_sub(entry.arrived) > queue_timeout(class))
         };
         for entry in self.queue.drain(is_late) {
             let retry = self.wait(entry.tier, now);
@@ -410,7 +412,7 @@
 
     /// Sends waiting requests elsewhere when no endpoint is open, as when operators take a data
     /// centre out.
-    fn refuse_stranded(&mut self, now: id::Time, out: &mut Vec<Reply>) {
+    fn refuse_stranded(&mut self, now: id::Time, out: &mut Vec<Message>) {
         if self.engines.iter().any(|state| state.limit(now, false) > 0) {
             return;
         }
@@ -445,7 +447,7 @@
     ///
     /// # Panics
     /// If they do not, which is a fault of this program.
-    pub fn check(&self) {
+    pub fn check_invariants(&self) {
         for state in &self.engines {
             let runs = self
                 .runs
@@ -475,7 +477,7 @@
 
 /// Returns how long a request of an interactive class may wait for a slot.
 #[must_use]
-pub fn patience(class: &Class) -> Duration {
+pub fn queue_timeout(class: &Class) -> Duration {
     /// A plain call that waits longer than this part of its target would miss it.
     const WHOLE_PART: u32 = 2;
     let target = if class.first_token_ms > 0 {
--- a/crates/peridotdeck-core/src/pool/handover.rs
+++ b/crates/peridotdeck-core/src/pool/handover.rs
@@ -4,15 +4,15 @@
 
 use peridotdeck_wire::{Handover, Held, Holding, Reason};
 
-use super::{HOLDER_SILENCE, Reply, Run, SETTLE, Scheduler, deny};
+use super::{HOLDER_SILENCE, Message, Run, SETTLE_PERIOD, Scheduler, deny};
 use crate::{engine, id, member::View};
 
 impl Scheduler {
     /// Settles anew if it has not settled yet: a peer that has just been heard may have owned the
     /// pool until now, and needs time to learn that it does not.
-    pub fn settle_longer(&mut self, now: id::Time) {
+    pub fn extend_settling(&mut self, now: id::Time) {
         if self.is_settling(now) {
-            self.settled = now + SETTLE;
+            self.settled = now + SETTLE_PERIOD;
         }
     }
 
@@ -20,7 +20,13 @@
     ///
     /// A new owner learns of grants that another node made; an old one notices slots whose return
     /// was lost on its way.
-    pub fn hold(&mut self, node: id::Node, held: &[Held], now: id::Time, out: &mut Vec<Reply>) {
+    pub fn handle_holding(
+        &mut self,
+        node: id::Node,
+        held: &[Held],
+        now: id::Time,
+        out: &mut Vec<Message>,
+    ) {
         /// Age from which a grant must be part of the statement.
         const KNOWN_AGE: Duration = Duration::from_secs(1);
         let stated = |run: &Run| held.iter().any(|each| each.attempt == run.attempt);
@@ -82,14 +88,14 @@
     }
 
     /// Frees what an entry node held that has died.
-    pub fn forget(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Reply>) {
+    pub fn forget_node(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Message>) {
         self.queue.drain(|entry| entry.node == node);
         self.release(now, |run| run.node == node);
         self.pump(now, out);
     }
 
     /// Drops the requests of nodes that have been silent for a long time: they have died.
-    pub fn forget_silent(&mut self, view: &View, now: id::Time) {
+    pub fn drop_silent_nodes(&mut self, view: &View, now: id::Time) {
         let silent = |node: id::Node| {
             view.heard(node)
                 .is_none_or(|heard| now.saturating_sub(heard) > HOLDER_SILENCE)
@@ -102,7 +108,7 @@
     ///
     /// Every waiting request is sent there by its entry node. The next owner learns what this one
     /// knows, so it need not settle.
-    pub fn retire(&mut self, next: Option<id::Node>, out: &mut Vec<Reply>) {
+    pub fn hand_over(&mut self, next: Option<id::Node>, out: &mut Vec<Message>) {
         for entry in self.queue.drain(|_| true) {
             out.push((
                 entry.node,
@@ -144,7 +150,7 @@
     }
 
     /// Takes over what the last owner knew: nothing is left to settle.
-    pub fn inherit(&mut self, handover: &Handover, now: id::Time) {
+    pub fn handle_handover(&mut self, handover: &Handover, now: id::Time) {
         for trust in &handover.trust {
             if let Some(state) = self
                 .engines
--- a/crates/peridotdeck-core/src/pool/placement.rs
+++ b/crates/peridotdeck-core/src/pool/placement.rs
@@ -2,12 +2,12 @@
 
 use peridotdeck_wire::Grant;
 
-use super::{RECENT, RESERVE_PART, Reply, Run, Scheduler};
+use super::{Message, RECENT, RESERVE_PART, Run, Scheduler};
 use crate::{engine, id, queue::Entry, strategy::Strategy};
 
 impl Scheduler {
     /// Grants free slots, then preempts bulk for interactive requests that still wait.
-    pub(super) fn pump(&mut self, now: id::Time, out: &mut Vec<Reply>) {
+    pub(super) fn pump(&mut self, now: id::Time, out: &mut Vec<Message>) {
         if self.strategy.is_baseline() {
             return self.pump_baseline(now, out);
         }
@@ -17,7 +17,7 @@
         self.preempt(now, out);
     }
 
-    pub(super) fn pump_baseline(&mut self, now: id::Time, out: &mut Vec<Reply>) {
+    pub(super) fn pump_baseline(&mut self, now: id::Time, out: &mut Vec<Message>) {
         while let Some(attempt) = self.queue.oldest() {
             let alive: Vec<usize> = (0..self.engines.len())
                 .filter(|&at| self.engines[at].limit(now, false) > 0)
@@ -99,7 +99,7 @@
                 .runs
                 .iter()
                 .any(|run| run.endpoint == state.id() && run.suspect);
-            let spread = entry.strikes > 0 && suspects;
+            let spread = entry.crashes > 0 && suspects;
             let shunned = !entry.bulk && elsewhere && state.is_shunned(now);
             !spread && !shunned
         });
@@ -135,7 +135,7 @@
         attempt: id::Attempt,
         endpoint: id::Endpoint,
         now: id::Time,
-        out: &mut Vec<Reply>,
+        out: &mut Vec<Message>,
     ) {
         let Some(entry) = self.queue.remove(attempt) else {
             return;
@@ -159,7 +159,7 @@
             class: entry.class,
             bulk: entry.bulk,
             fingerprint: entry.fingerprint,
-            suspect: entry.strikes > 0,
+            suspect: entry.crashes > 0,
             since: now,
             confirmed: now,
             stopping: false,
--- a/crates/peridotdeck-core/src/pool/preemption.rs
+++ b/crates/peridotdeck-core/src/pool/preemption.rs
@@ -4,7 +4,7 @@
 
 use peridotdeck_wire::Preempt;
 
-use super::{MAX_PREEMPTIONS, Reply, Run, Scheduler};
+use super::{MAX_PREEMPTIONS, Message, Run, Scheduler};
 use crate::{engine, id};
 
 impl Scheduler {
@@ -48,7 +48,7 @@
         self.runs.iter().filter(|run| run.class == class).count()
     }
 
-    pub(super) fn preempt(&mut self, now: id::Time, out: &mut Vec<Reply>) {
+    pub(super) fn preempt(&mut self, now: id::Time, out: &mut Vec<Message>) {
         let free = self.free(now);
         let coming = self.runs.iter().filter(|run| run.stopping).count() + free as usize;
         let wanted = self.waiting_interactive().saturating_sub(coming);
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn stop(&mut self, attempt: id::Attempt, out: &mut Vec<Reply>) {
+    pub(super) fn stop(&mut self, attempt: id::Attempt, out: &mut Vec<Message>) {
         let Some(run) = self.runs.iter_mut().find(|run| run.attempt == attempt) else {
             return;
         };
--- a/crates/peridotdeck-core/src/poison.rs
+++ b/crates/peridotdeck-core/src/quarantine.rs
@@ -7,7 +7,7 @@
 use crate::id;
 
 /// Strikes after which a request runs no more.
-pub const QUARANTINE_STRIKES: usize = 2;
+pub const CRASH_LIMIT: usize = 2;
 
 /// Time for which strikes are remembered.
 const MEMORY: id::Time = id::Time::from_secs(600);
@@ -30,7 +30,7 @@
 
 impl List {
     /// Adds a strike and returns whether it is new.
-    pub fn strike(
+    pub fn record_crash(
         &mut self,
         fingerprint: id::Fingerprint,
         endpoint: id::Endpoint,
@@ -51,7 +51,7 @@
         let suspect = &mut self.suspects[at];
         suspect.last = now;
         let new = !suspect.endpoints.contains(&endpoint);
-        if new && suspect.endpoints.len() < QUARANTINE_STRIKES {
+        if new && suspect.endpoints.len() < CRASH_LIMIT {
             suspect.endpoints.push(endpoint);
         }
         self.bound();
@@ -61,7 +61,7 @@
     /// Clears a suspect that has run to its end.
     pub fn clear(&mut self, fingerprint: id::Fingerprint) {
         if let Ok(at) = self.find(fingerprint)
-            && self.suspects[at].endpoints.len() < QUARANTINE_STRIKES
+            && self.suspects[at].endpoints.len() < CRASH_LIMIT
         {
             self.suspects.remove(at);
         }
@@ -69,7 +69,7 @@
 
     /// Returns the strikes of a request.
     #[must_use]
-    pub fn strikes(&self, fingerprint: id::Fingerprint) -> usize {
+    pub fn crashes(&self, fingerprint: id::Fingerprint) -> usize {
         self.find(fingerprint)
             .map_or(0, |at| self.suspects[at].endpoints.len())
     }
@@ -77,7 +77,7 @@
     /// Returns whether a request may run no more.
     #[must_use]
     pub fn is_quarantined(&self, fingerprint: id::Fingerprint) -> bool {
-        self.strikes(fingerprint) >= QUARANTINE_STRIKES
+        self.crashes(fingerprint) >= CRASH_LIMIT
     }
 
     /// Forgets old suspects.
--- a/crates/peridotdeck-core/src/queue.rs
+++ b/crates/peridotdeck-core/src/queue.rs
@@ -23,19 +23,19 @@
     /// Share of the customer.
     pub weight: u32,
     /// Expected output in tokens.
-    pub tokens: u32,
+    pub output_tokens: u32,
     /// Prompt in tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Digest of the prompt's beginning; 0 for none.
     pub prefix: u64,
     /// Digest of the whole request.
     pub fingerprint: id::Fingerprint,
     /// Endpoints that died while they ran this request.
-    pub strikes: u8,
+    pub crashes: u8,
     /// Endpoints that failed this request.
     pub avoid: Vec<id::Endpoint>,
     /// When the request arrived at the entry node, on the owner's clock.
-    pub since: id::Time,
+    pub arrived: id::Time,
 }
 
 /// Waiting requests in order of arrival, and the service that each customer has had.
@@ -105,7 +105,7 @@
                         self.had(&one.organisation)
                             .total_cmp(&self.had(&other.organisation)),
                     )
-                    .then(one.since.cmp(&other.since))
+                    .then(one.arrived.cmp(&other.arrived))
             });
         best.map(|entry| entry.attempt)
     }
@@ -120,7 +120,7 @@
     pub fn charge(&mut self, entry: &Entry) {
         /// Cost of a prompt token relative to an output token: prefill runs in large batches.
         const PROMPT_COST: f64 = 0.1;
-        let cost = f64::from(entry.tokens) + PROMPT_COST * f64::from(entry.prompt);
+        let cost = f64::from(entry.output_tokens) + PROMPT_COST * f64::from(entry.prompt_tokens);
         if let Ok(at) = self.find(&entry.organisation) {
             self.service[at].1 += cost / f64::from(entry.weight.max(1));
         }
--- a/crates/peridotdeck-core/tests/testsuite/fairness.rs
+++ b/crates/peridotdeck-core/tests/testsuite/fairness.rs
@@ -13,13 +13,13 @@
         bulk: tier == 4,
         organisation: organisation.to_owned(),
         weight: 1,
-        tokens: 100,
-        prompt: 0,
+        output_tokens: 100,
+        prompt_tokens: 0,
         prefix: 0,
         fingerprint: attempt,
-        strikes: 0,
+        crashes: 0,
         avoid: Vec::new(),
-        since: std::time::Duration::from_millis(attempt),
+        arrived: std::time::Duration::from_millis(attempt),
     }
 }
 
--- a/crates/peridotdeck-core/tests/testsuite/poison.rs
+++ b/crates/peridotdeck-core/tests/testsuite/poison.rs
@@ -2,7 +2,7 @@
 
 use peridotdeck_core::{
     Verdict,
-    poison::{List, QUARANTINE_STRIKES},
+    quarantine::{CRASH_LIMIT, List},
     request::Cause,
 };
 
@@ -12,20 +12,23 @@
 fn two_strikes() {
     let mut list = List::default();
     let now = std::time::Duration::ZERO;
-    assert!(list.strike(7, 1, now));
-    assert!(!list.strike(7, 1, now), "the same endpoint counts once");
+    assert!(list.record_crash(7, 1, now));
+    assert!(
+        !list.record_crash(7, 1, now),
+        "the same endpoint counts once"
+    );
     assert!(!list.is_quarantined(7));
-    assert!(list.strike(7, 2, now));
+    assert!(list.record_crash(7, 2, now));
     assert!(list.is_quarantined(7));
-    assert_eq!(list.strikes(7), QUARANTINE_STRIKES);
+    assert_eq!(list.crashes(7), CRASH_LIMIT);
 }
 
 #[test]
 fn innocent_cleared() {
     let mut list = List::default();
-    list.strike(7, 1, std::time::Duration::ZERO);
+    list.record_crash(7, 1, std::time::Duration::ZERO);
     list.clear(7);
-    assert_eq!(list.strikes(7), 0);
+    assert_eq!(list.crashes(7), 0);
 }
 
 #[test]
--- a/crates/peridotdeck-load/src/stage.rs
+++ b/crates/peridotdeck-load/src/stage.rs
@@ -143,7 +143,7 @@
         for _ in 0..rounds {
             if self.all_ready().await {
                 // Ownership settles after the first gossip; load that comes before would be denied.
-                task::sleep(peridotdeck_core::pool::SETTLE + LOOK).await;
+                task::sleep(peridotdeck_core::pool::SETTLE_PERIOD + LOOK).await;
                 return Ok(());
             }
             task::sleep(LOOK).await;
--- a/crates/peridotdeck-router/tests/testsuite/site.rs
+++ b/crates/peridotdeck-router/tests/testsuite/site.rs
@@ -151,7 +151,7 @@
                 task::sleep(Duration::from_millis(10)).await;
             }
         }
-        task::sleep(peridotdeck_core::pool::SETTLE).await;
+        task::sleep(peridotdeck_core::pool::SETTLE_PERIOD).await;
     }
 
     pub fn address(&self) -> SocketAddr {
