--- a/crates/peridotdeck-core/src/engine.rs
+++ b/crates/peridotdeck-core/src/engine.rs
@@ -1,7 +1,7 @@
-//! What the owner of a pool knows about one endpoint.
+//! The state of one endpoint, as seen by the owner of its pool.
 //!
-//! The owner's own count of granted slots is current; load reports arrive late, so they only
-//! reveal restarts and, after a change of owner, the load that nobody has told the new owner of.
+//! The owner's own count of granted slots is current. Load reports arrive late. They only reveal
+//! restarts and, after a change of owner, load that has not been reported to the new owner.
 
 use std::time::Duration;
 
@@ -12,118 +12,132 @@
 
 use crate::{id, mean::Mean};
 
-/// First pause after a failure; it doubles with each further failure.
-const BACKOFF: Duration = Duration::from_millis(500);
+/// Backoff after the first failure; it doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest pause after failures.
+/// Longest backoff after failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Finished requests for which a cold endpoint gets one more slot.
-const FINISHED_PER_SLOT: u32 = 2;
+/// Finished requests that raise the limit of a cold endpoint by one slot.
+const FINISHED_PER_COLD_SLOT: u32 = 2;
 
-/// A first token this many times slower than the pool's median marks an endpoint as slow.
-const SLOW_FACTOR: f64 = 3.0;
+/// Ratio to the pool's median time to first token above which an endpoint counts as slow.
+const SLOW_FIRST_TOKEN_FACTOR: f64 = 3.0;
 
-/// Differences below this are noise, whatever the ratio.
-const SLOW_FLOOR_MS: f64 = 100.0;
+/// Least excess over the median time to first token, in milliseconds, of a slow endpoint.
+///
+/// A smaller difference is normal variation, whatever the ratio.
+const SLOW_FIRST_TOKEN_MARGIN_MS: f64 = 100.0;
 
-/// A gap between tokens this many times longer than the median marks an endpoint as slow too.
-const SLOW_GAP_FACTOR: f64 = 2.0;
+/// Ratio to the pool's median inter-token latency above which an endpoint counts as slow.
+const SLOW_TOKEN_GAP_FACTOR: f64 = 2.0;
 
-/// Differences of the gap below this are noise.
-const SLOW_GAP_FLOOR_MS: f64 = 4.0;
+/// Least excess over the median inter-token latency, in milliseconds, of a slow endpoint.
+///
+/// A smaller difference is normal variation, whatever the ratio.
+const SLOW_TOKEN_GAP_MARGIN_MS: f64 = 4.0;
 
-/// Weight of the newest answer: a slow endpoint must show within a few.
-const NEWEST: f64 = 0.3;
+/// Weight of the newest answer in the running means of an endpoint's speed.
+///
+/// It is high so that a slow endpoint is detected within a few answers.
+const NEWEST_SPEED_WEIGHT: f64 = 0.3;
 
-/// Time over which the most load is remembered as one figure.
-const MOMENT: Duration = Duration::from_millis(250);
+/// Period whose highest load is stored as one sample.
+const LOAD_SAMPLE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Time that an endpoint may take to notice that a stream's reader has gone.
-const LINGER: Duration = Duration::from_millis(300);
+/// Time that an endpoint may take to notice that the reader of a stream has disconnected.
+const ABORTED_STREAM_LINGER: Duration = Duration::from_millis(300);
 
-/// Time without an answer after which a slow endpoint is probed with whatever waits.
-const PROBE: Duration = Duration::from_secs(4);
+/// Time without a finished request after which a slow endpoint is probed.
+///
+/// The probe may be any waiting request, also an interactive one.
+const PROBE_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Prefixes that an endpoint is assumed to hold in its cache.
-const PREFIXES: usize = 64;
+/// Most prefixes that an endpoint is assumed to hold in its cache.
+const MAX_CACHED_PREFIXES: usize = 64;
 
-/// Time for which a prefix is assumed to stay cached.
-const PREFIX_AGE: Duration = Duration::from_secs(60);
+/// Time after its last use for which a prefix is assumed to stay cached.
+const MAX_PREFIX_AGE: Duration = Duration::from_secs(60);
 
-/// Age after which a report says nothing about the present; younger ones may be this late.
-const REPORT_AGE: Duration = Duration::from_secs(3);
+/// Age after which a load report is ignored; the load that it shows may be as old.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 
-/// Load report of an endpoint, as its HTTP interface gives it.
+/// Load report of an endpoint, as its HTTP interface returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Start of the endpoint's process; another value means that it has restarted.
+    /// Start of the endpoint's process; a changed value means that it has restarted.
     pub boot: u64,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
     /// Requests that wait at the endpoint.
     pub queued: u32,
-    /// Whether it can bear its full load.
+    /// Whether the endpoint is ready for its full load.
     pub warm: bool,
 }
 
-/// How much an endpoint is trusted with.
+/// Phase of an endpoint, which determines how much load it gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Phase {
-    /// It takes its full load.
+    /// The endpoint gets its full load.
     Warm,
-    /// It takes its cold load and more with each finished request.
+    /// The endpoint gets its cold load, and more as it finishes requests.
     Cold {
-        /// Requests finished since it turned cold.
+        /// Requests finished since the endpoint became cold.
         finished: u32,
     },
-    /// It is slower than its peers and gets one probe at a time.
+    /// The endpoint is slower than its peers and gets one request at a time as a probe.
     Slow,
-    /// It failed and rests.
+    /// The endpoint failed and gets no requests during its backoff.
     Down {
-        /// End of the rest.
+        /// End of the backoff.
         until: id::Time,
     },
 }
 
-/// How fast an endpoint answered one request; zero where nothing was measured.
+/// Speed of one answer; zero where nothing was measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Speed {
-    /// Time to the first token.
-    pub first: Duration,
-    /// Mean gap between tokens.
-    pub gap: Duration,
+    /// Time to first token.
+    pub first_token: Duration,
+    /// Mean inter-token latency.
+    pub token_gap: Duration,
 }
 
-/// Medians over a pool's endpoints.
+/// Median speeds over a pool's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Medians {
-    /// Time to the first token in milliseconds.
-    pub first_ms: f64,
-    /// Gap between tokens in milliseconds.
-    pub gap_ms: f64,
+    /// Median time to first token in milliseconds.
+    pub first_token_ms: f64,
+    /// Median inter-token latency in milliseconds.
+    pub token_gap_ms: f64,
 }
 
-/// State of one endpoint.
+/// State of one endpoint: its phase, its slots in use and its measured speed.
 #[derive(Clone, Debug)]
 pub struct State {
     endpoint: Endpoint,
     open: bool,
     phase: Phase,
     in_flight: u32,
+    /// Failures since the last finished request.
     failures: u32,
-    first: Mean,
-    gap: Mean,
+    first_token: Mean,
+    token_gap: Mean,
+    /// Last load report and when it arrived.
     report: Option<(Report, id::Time)>,
-    loads: Vec<(id::Time, u32)>,
-    answered: id::Time,
-    closed: Vec<id::Time>,
+    /// Highest load of each recent [`LOAD_SAMPLE_PERIOD`], with its start.
+    peak_loads: Vec<(id::Time, u32)>,
+    /// When a request last finished at the endpoint.
+    last_finished: id::Time,
+    /// Times at which streams were closed early; the endpoint may still run them for a while.
+    aborted: Vec<id::Time>,
+    /// Prefix digests that the endpoint probably caches, with the time of their last use.
     prefixes: Vec<(u64, id::Time)>,
 }
 
 impl State {
-    /// Starts with a cold endpoint: nobody has vouched for it yet.
+    /// Creates the state of a cold endpoint, since nothing shows yet that it is warm.
     #[must_use]
     pub fn new(endpoint: Endpoint, open: bool) -> Self {
         Self {
@@ -132,12 +146,12 @@
             phase: Phase::Cold { finished: 0 },
             in_flight: 0,
             failures: 0,
-            first: Mean::default(),
-            gap: Mean::default(),
+            first_token: Mean::default(),
+            token_gap: Mean::default(),
             report: None,
-            loads: Vec::new(),
-            answered: id::Time::ZERO,
-            closed: Vec::new(),
+            peak_loads: Vec::new(),
+            last_finished: id::Time::ZERO,
+            aborted: Vec::new(),
             prefixes: Vec::new(),
         }
     }
@@ -148,7 +162,7 @@
         self.endpoint.id
     }
 
-    /// Returns how much the endpoint is trusted with.
+    /// Returns the phase, which determines how much load the endpoint gets.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
@@ -166,16 +180,16 @@
         self.endpoint.slots
     }
 
-    /// Follows a configuration change.
+    /// Applies a configuration change.
     pub fn update(&mut self, endpoint: Endpoint, open: bool) {
         self.endpoint = endpoint;
         self.open = open;
     }
 
-    /// Returns the requests that this owner may have at the endpoint now.
+    /// Returns how many requests this owner may have at the endpoint now.
     ///
-    /// Load that others put there counts against it. While the owner is `settling`, cold endpoints
-    /// get nothing, so that two owners together never exceed the cold limit.
+    /// Load from other nodes counts against the limit. While the owner is `settling`, cold
+    /// endpoints get nothing, so that two owners together never exceed the cold limit.
     #[must_use]
     pub fn limit(&self, now: id::Time, settling: bool) -> u32 {
         if !self.open {
@@ -186,50 +200,57 @@
             Phase::Cold { .. } if settling => 0,
             Phase::Cold { finished } => self
                 .cold_limit(finished)
-                .saturating_sub(self.lingering(now)),
+                .saturating_sub(self.lingering_streams(now)),
             Phase::Slow => 1,
             Phase::Down { .. } => 0,
         };
         limit.saturating_sub(self.foreign_load(now))
     }
 
-    /// Returns the streams that were closed early and may still run. A warm endpoint can bear them;
-    /// a cold one may not.
-    fn lingering(&self, now: id::Time) -> u32 {
-        self.closed
+    /// Returns the number of aborted streams that may still run.
+    ///
+    /// A warm endpoint can bear them; a cold one may not.
+    fn lingering_streams(&self, now: id::Time) -> u32 {
+        self.aborted
             .iter()
-            .filter(|&&at| now.saturating_sub(at) < LINGER)
+            .filter(|&&at| now.saturating_sub(at) < ABORTED_STREAM_LINGER)
             .count() as u32
     }
 
-    /// Returns the reported load that this owner has not granted: of an owner before it, or of a
-    /// node that cannot tell what it holds.
+    /// Returns the reported load that this owner has not granted.
     ///
-    /// A report may be late, so it is held against the most that this owner had in the meantime.
+    /// It comes from a previous owner, or from a node that cannot report the slots that it holds.
+    /// A report may be late, so it is compared with this owner's highest load in the meantime.
     fn foreign_load(&self, now: id::Time) -> u32 {
         let Some((report, at)) = self.report else {
             return 0;
         };
-        if now.saturating_sub(at) > REPORT_AGE {
+        if now.saturating_sub(at) > MAX_REPORT_AGE {
             return 0;
         }
-        let most = self.loads.iter().map(|(_, load)| *load).max().unwrap_or(0);
+        let most = self
+            .peak_loads
+            .iter()
+            .map(|(_, load)| *load)
+            .max()
+            .unwrap_or(0);
         (report.running + report.queued).saturating_sub(most.max(self.in_flight))
     }
 
-    /// Remembers the most load in each of the last few moments, back to the oldest that a report
-    /// may still show.
-    fn note_load(&mut self, now: id::Time) {
+    /// Records the highest load of each [`LOAD_SAMPLE_PERIOD`].
+    ///
+    /// The samples reach back to the oldest load that a report may still show.
+    fn record_load(&mut self, now: id::Time) {
         let old = self
-            .loads
-            .partition_point(|(at, _)| now.saturating_sub(*at) > REPORT_AGE);
-        // The last old one was in force at the beginning of the window.
-        self.loads.drain(..old.saturating_sub(1));
-        match self.loads.last_mut() {
-            Some((at, most)) if now.saturating_sub(*at) < MOMENT => {
+            .peak_loads
+            .partition_point(|(at, _)| now.saturating_sub(*at) > MAX_REPORT_AGE);
+        // The last expired sample still held when the window began.
+        self.peak_loads.drain(..old.saturating_sub(1));
+        match self.peak_loads.last_mut() {
+            Some((at, most)) if now.saturating_sub(*at) < LOAD_SAMPLE_PERIOD => {
                 *most = (*most).max(self.in_flight);
             }
-            _ => self.loads.push((now, self.in_flight)),
+            _ => self.peak_loads.push((now, self.in_flight)),
         }
     }
 
@@ -240,26 +261,27 @@
     }
 
     fn cold_limit(&self, finished: u32) -> u32 {
-        let earned = self.endpoint.cold_slots + finished / FINISHED_PER_SLOT;
+        let earned = self.endpoint.cold_slots + finished / FINISHED_PER_COLD_SLOT;
         earned.min(self.endpoint.slots)
     }
 
-    /// Takes a slot.
-    pub fn take(&mut self, prefix: u64, now: id::Time) {
+    /// Takes a slot, and records the prefix that the endpoint will cache; 0 means none.
+    pub fn take_slot(&mut self, prefix: u64, now: id::Time) {
         self.in_flight += 1;
-        self.note_load(now);
+        self.record_load(now);
         if prefix != 0 {
-            self.remember(prefix, now);
+            self.record_prefix(prefix, now);
         }
     }
 
-    /// Counts a slot that is in use already, told by the entry node that holds it.
-    pub fn adopt(&mut self, now: id::Time) {
+    /// Counts a slot that is already in use, as reported by the node that holds it or the last
+    /// owner.
+    pub fn adopt_slot(&mut self, now: id::Time) {
         self.in_flight += 1;
-        self.note_load(now);
+        self.record_load(now);
     }
 
-    /// Returns how much the endpoint is trusted with, for the next owner.
+    /// Returns the progress of the warm-up, for the next owner.
     #[must_use]
     pub fn trust(&self) -> Trust {
         let finished = if let Phase::Cold { finished } = self.phase {
@@ -274,8 +296,8 @@
         }
     }
 
-    /// Takes over the last owner's trust.
-    pub fn believe(&mut self, trust: &Trust) {
+    /// Adopts the progress of the warm-up from the last owner.
+    pub fn inherit_trust(&mut self, trust: &Trust) {
         self.phase = if trust.warm {
             Phase::Warm
         } else {
@@ -285,39 +307,44 @@
         };
     }
 
-    /// Returns a slot whose holder has vanished.
+    /// Frees a slot without an outcome, as when its holder has disappeared.
     ///
     /// # Panics
-    /// If no slot is in use, which is a fault of this program.
-    pub fn release(&mut self, now: id::Time) {
+    /// Panics if no slot is in use, which is a bug in this program.
+    pub fn release_slot(&mut self, now: id::Time) {
         assert!(
             self.in_flight > 0,
-            "endpoint {} has negative load",
+            "endpoint {} has no slot in use that could be released",
             self.endpoint.id
         );
         self.in_flight -= 1;
-        self.note_load(now);
+        self.record_load(now);
     }
 
-    /// Returns a slot and learns from how the attempt went.
+    /// Frees a slot and records the outcome and the speed of its attempt.
+    ///
+    /// # Panics
+    /// Panics if no slot is in use, which is a bug in this program.
     pub fn finish(&mut self, outcome: Outcome, speed: Speed, now: id::Time) {
-        self.release(now);
+        self.release_slot(now);
         match outcome {
-            Outcome::Finished => self.succeed(speed, now),
-            Outcome::Unreachable | Outcome::Broken | Outcome::Silent => self.fail(now),
-            Outcome::Cancelled | Outcome::Preempted | Outcome::Crossed => self.closed.push(now),
+            Outcome::Finished => self.record_success(speed, now),
+            Outcome::Unreachable | Outcome::Broken | Outcome::Silent => self.record_failure(now),
+            Outcome::Cancelled | Outcome::Preempted | Outcome::Crossed => self.aborted.push(now),
             Outcome::Refused => {}
         }
     }
 
-    fn succeed(&mut self, speed: Speed, now: id::Time) {
+    fn record_success(&mut self, speed: Speed, now: id::Time) {
         self.failures = 0;
-        self.answered = now;
-        if speed.first > Duration::ZERO {
-            self.first.add_with(speed.first, NEWEST);
+        self.last_finished = now;
+        if speed.first_token > Duration::ZERO {
+            self.first_token
+                .add_with(speed.first_token, NEWEST_SPEED_WEIGHT);
         }
-        if speed.gap > Duration::ZERO {
-            self.gap.add_with(speed.gap, NEWEST);
+        if speed.token_gap > Duration::ZERO {
+            self.token_gap
+                .add_with(speed.token_gap, NEWEST_SPEED_WEIGHT);
         }
         if let Phase::Cold { finished } = &mut self.phase {
             *finished += 1;
@@ -328,63 +355,66 @@
         }
     }
 
-    fn fail(&mut self, now: id::Time) {
-        let doubled = BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
+    fn record_failure(&mut self, now: id::Time) {
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
         self.phase = Phase::Down {
-            until: now + doubled.min(MAX_BACKOFF),
+            until: now + backoff.min(MAX_BACKOFF),
         };
         self.prefixes.clear();
     }
 
-    /// Ends a rest: the endpoint returns cold, because a crash empties it.
+    /// Ends an expired backoff and drops expired samples.
+    ///
+    /// After its backoff the endpoint is cold, because a crash empties its cache.
     pub fn tick(&mut self, now: id::Time) {
         if let Phase::Down { until } = self.phase
             && now >= until
         {
-            self.turn_cold();
+            self.reset_to_cold();
         }
-        self.closed.retain(|&at| now.saturating_sub(at) < LINGER);
+        self.aborted
+            .retain(|&at| now.saturating_sub(at) < ABORTED_STREAM_LINGER);
         self.prefixes
-            .retain(|&(_, used)| now.saturating_sub(used) < PREFIX_AGE);
+            .retain(|&(_, used)| now.saturating_sub(used) < MAX_PREFIX_AGE);
     }
 
-    fn turn_cold(&mut self) {
+    fn reset_to_cold(&mut self) {
         self.phase = Phase::Cold { finished: 0 };
-        self.first = Mean::default();
-        self.gap = Mean::default();
+        self.first_token = Mean::default();
+        self.token_gap = Mean::default();
         self.prefixes.clear();
     }
 
-    /// Learns from a load report.
+    /// Updates the phase from a load report.
     pub fn handle_report(&mut self, report: Report, now: id::Time) {
         let restarted = self.report.is_some_and(|(old, _)| old.boot != report.boot);
         self.report = Some((report, now));
         let down = matches!(self.phase, Phase::Down { .. });
         if restarted || (!report.warm && matches!(self.phase, Phase::Warm | Phase::Slow)) {
             if !down {
-                self.turn_cold();
+                self.reset_to_cold();
             }
         } else if report.warm && matches!(self.phase, Phase::Cold { .. }) {
             self.phase = Phase::Warm;
         }
     }
 
-    /// Compares with the medians of the pool's endpoints, in milliseconds.
-    pub fn compare(&mut self, median: Medians) {
+    /// Marks the endpoint as slow, or as warm again, by the medians of its pool.
+    pub fn compare_with_medians(&mut self, median: Medians) {
         let exceeds = |value: Option<f64>, median: f64, factor: f64, floor: f64| {
             value.is_some_and(|value| value > median * factor && value > median + floor)
         };
         let slow = exceeds(
-            self.first.value(),
-            median.first_ms,
-            SLOW_FACTOR,
-            SLOW_FLOOR_MS,
+            self.first_token.value(),
+            median.first_token_ms,
+            SLOW_FIRST_TOKEN_FACTOR,
+            SLOW_FIRST_TOKEN_MARGIN_MS,
         ) || exceeds(
-            self.gap.value(),
-            median.gap_ms,
-            SLOW_GAP_FACTOR,
-            SLOW_GAP_FLOOR_MS,
+            self.token_gap.value(),
+            median.token_gap_ms,
+            SLOW_TOKEN_GAP_FACTOR,
+            SLOW_TOKEN_GAP_MARGIN_MS,
         );
         match self.phase {
             Phase::Warm if slow => self.phase = Phase::Slow,
@@ -393,52 +423,54 @@
         }
     }
 
-    /// Returns whether interactive work should go elsewhere: the endpoint is slow, and bulk or time
-    /// has not yet shown otherwise.
+    /// Returns whether interactive requests should go to other endpoints.
+    ///
+    /// This holds for a slow endpoint that has finished a request within `PROBE_INTERVAL`. Until
+    /// the interval has passed, only bulk requests can show that it has recovered.
     #[must_use]
-    pub fn is_shunned(&self, now: id::Time) -> bool {
-        self.phase == Phase::Slow && now.saturating_sub(self.answered) < PROBE
+    pub fn excludes_interactive(&self, now: id::Time) -> bool {
+        self.phase == Phase::Slow && now.saturating_sub(self.last_finished) < PROBE_INTERVAL
     }
 
-    /// Returns the mean gap between tokens in milliseconds.
+    /// Returns the mean inter-token latency in milliseconds, if any was measured.
     #[must_use]
-    pub fn gap_ms(&self) -> Option<f64> {
-        self.gap.value()
+    pub fn token_gap_ms(&self) -> Option<f64> {
+        self.token_gap.value()
     }
 
-    /// Returns the mean time to the first token in milliseconds.
+    /// Returns the mean time to first token in milliseconds, if any was measured.
     #[must_use]
-    pub fn first_ms(&self) -> Option<f64> {
-        self.first.value()
+    pub fn first_token_ms(&self) -> Option<f64> {
+        self.first_token.value()
     }
 
     /// Returns whether the endpoint probably caches a prefix.
     #[must_use]
-    pub fn holds(&self, prefix: u64) -> bool {
-        prefix != 0 && self.prefixes.iter().any(|&(each, _)| each == prefix)
+    pub fn caches(&self, prefix: u64) -> bool {
+        prefix != 0 && self.prefixes.iter().any(|&(digest, _)| digest == prefix)
     }
 
-    fn remember(&mut self, prefix: u64, now: id::Time) {
-        self.prefixes.retain(|&(each, _)| each != prefix);
-        if self.prefixes.len() == PREFIXES {
+    fn record_prefix(&mut self, prefix: u64, now: id::Time) {
+        self.prefixes.retain(|&(digest, _)| digest != prefix);
+        if self.prefixes.len() == MAX_CACHED_PREFIXES {
             self.prefixes.remove(0);
         }
         self.prefixes.push((prefix, now));
     }
 
-    /// Returns the expected cost of one more request: lower is better.
+    /// Returns the expected cost of one more request; lower is better.
     ///
-    /// The unit is the mean first-token time of an idle endpoint of this pool.
+    /// The unit is the mean time to first token of an idle endpoint of this pool.
     #[must_use]
     pub fn cost(&self, prefix: u64, median_ms: f64) -> f64 {
-        /// Part of the first-token time that a cached prefix saves.
+        /// Fraction of the time to first token that a cached prefix saves.
         const PREFIX_SAVING: f64 = 0.5;
         let relative = self
-            .first
+            .first_token
             .value()
             .map_or(1.0, |first| first / median_ms.max(1.0));
         let load = f64::from(self.in_flight) / f64::from(self.endpoint.slots.max(1));
-        let saving = if self.holds(prefix) {
+        let saving = if self.caches(prefix) {
             PREFIX_SAVING
         } else {
             0.0
--- a/crates/peridotdeck-core/src/limit.rs
+++ b/crates/peridotdeck-core/src/limit.rs
@@ -1,19 +1,21 @@
-//! Customers' limits and the retry budgets of classes.
+//! Rate and concurrency limits of organisations, and retry budgets of classes.
 //!
-//! Each node enforces its share of a customer's limit: the limit divided by the nodes that are
-//! alive. `docs/design/LIMITS.md` weighs this against counting at one node.
+//! Each node enforces its share of an organisation's limits: the limits divided by the number of
+//! live nodes. `docs/design/LIMITS.md` compares this with counting at one node.
 
 use crate::id;
 
-/// A token bucket.
+/// A token bucket that limits a rate of requests.
 #[derive(Clone, Debug)]
 pub struct Bucket {
+    /// Tokens in the bucket.
     level: f64,
+    /// When tokens were last added.
     filled: id::Time,
 }
 
 impl Bucket {
-    /// Starts a full bucket.
+    /// Creates a full bucket that holds `burst` tokens.
     #[must_use]
     pub fn full(burst: f64, now: id::Time) -> Self {
         Self {
@@ -22,13 +24,15 @@
         }
     }
 
-    /// Takes one token, or returns the time until there is one.
+    /// Takes one token, after adding those of the time that has passed.
+    ///
+    /// `rate` is in tokens per second; `burst` is the capacity in tokens, at least 1.
     ///
     /// # Errors
-    /// The wait until the next token.
+    /// Returns the time until the next token if there is none.
     pub fn take(&mut self, rate: f64, burst: f64, now: id::Time) -> Result<(), id::Time> {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        self.level = (self.level + passed * rate).min(burst.max(1.0));
+        let elapsed = now.saturating_sub(self.filled).as_secs_f64();
+        self.level = (self.level + elapsed * rate).min(burst.max(1.0));
         self.filled = now;
         if self.level >= 1.0 {
             self.level -= 1.0;
@@ -38,31 +42,32 @@
     }
 }
 
-/// Buckets and counts of the customers that this node has seen.
+/// Buckets and requests in progress of the organisations that this node has seen.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    holders: Vec<(String, Holder)>,
+    /// Sorted by the organisation's name.
+    usages: Vec<(String, Usage)>,
 }
 
 #[derive(Clone, Debug)]
-struct Holder {
+struct Usage {
     bucket: Bucket,
-    open: u32,
+    in_progress: u32,
 }
 
-/// One node's share of a customer's limit.
+/// One node's share of an organisation's limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Share {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests that may come at once.
+    /// Requests that may arrive at once.
     pub burst: f64,
-    /// Requests in progress.
+    /// Requests that may be in progress.
     pub concurrency: u32,
 }
 
 impl Share {
-    /// Divides a customer's limits over the nodes that are alive.
+    /// Divides an organisation's limits by the number of live nodes.
     #[must_use]
     pub fn of(organisation: &peridotdeck_policy::Organisation, nodes: usize) -> Self {
         let nodes = nodes.max(1) as f64;
@@ -75,79 +80,82 @@
 }
 
 impl Table {
-    /// Admits one request of a customer.
+    /// Admits one request of an organisation, within this node's share of its limits.
     ///
     /// # Errors
-    /// The time after which a new try makes sense.
+    /// Returns the time after which to retry if a limit is reached.
     pub fn admit(&mut self, name: &str, share: Share, now: id::Time) -> Result<(), id::Time> {
-        /// Wait in seconds that a caller at its concurrency limit is told.
-        const BUSY_S: u64 = 1;
-        let holder = self.holder(name, share, now);
-        if holder.open >= share.concurrency {
-            return Err(id::Time::from_secs(BUSY_S));
+        /// Time in seconds after which a caller at its concurrency limit is asked to retry.
+        const RETRY_AFTER_S: u64 = 1;
+        let usage = self.usage(name, share, now);
+        if usage.in_progress >= share.concurrency {
+            return Err(id::Time::from_secs(RETRY_AFTER_S));
         }
-        holder.bucket.take(share.rate, share.burst, now)?;
-        holder.open += 1;
+        usage.bucket.take(share.rate, share.burst, now)?;
+        usage.in_progress += 1;
         Ok(())
     }
 
-    /// Ends one admitted request.
+    /// Records the end of one admitted request.
     ///
     /// # Panics
-    /// If more requests end than were admitted, which is a fault of this program.
+    /// Panics if more requests end than were admitted, which is a bug in this program.
     pub fn release(&mut self, name: &str) {
-        let at = self
+        let index = self
             .find(name)
-            .expect("only admitted requests are released");
-        let holder = &mut self.holders[at].1;
+            .expect("a released request must have been admitted");
+        let usage = &mut self.usages[index].1;
         assert!(
-            holder.open > 0,
-            "customer {name} has negative open requests"
+            usage.in_progress > 0,
+            "organisation {name} has no request in progress that could end"
         );
-        holder.open -= 1;
+        usage.in_progress -= 1;
     }
 
-    /// Returns a customer's requests in progress.
+    /// Returns the number of an organisation's requests in progress.
     #[must_use]
     pub fn in_progress(&self, name: &str) -> u32 {
-        self.find(name).map_or(0, |at| self.holders[at].1.open)
+        self.find(name)
+            .map_or(0, |index| self.usages[index].1.in_progress)
     }
 
     fn find(&self, name: &str) -> Result<usize, usize> {
-        self.holders
-            .binary_search_by(|(each, _)| each.as_str().cmp(name))
+        self.usages
+            .binary_search_by(|(organisation, _)| organisation.as_str().cmp(name))
     }
 
-    fn holder(&mut self, name: &str, share: Share, now: id::Time) -> &mut Holder {
-        let at = self.find(name).unwrap_or_else(|at| {
-            let holder = Holder {
+    fn usage(&mut self, name: &str, share: Share, now: id::Time) -> &mut Usage {
+        let index = self.find(name).unwrap_or_else(|index| {
+            let usage = Usage {
                 bucket: Bucket::full(share.burst, now),
-                open: 0,
+                in_progress: 0,
             };
-            self.holders.insert(at, (name.to_owned(), holder));
-            at
+            self.usages.insert(index, (name.to_owned(), usage));
+            index
         });
-        &mut self.holders[at].1
+        &mut self.usages[index].1
     }
 }
 
-/// Retry budgets by class: a share of the first attempts, so that retries never multiply an
-/// overload.
+/// Retry budgets by class.
+///
+/// A budget is a percentage of the first attempts, so that retries never multiply an overload.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgets {
+    /// Available retries by class, sorted by its name.
     budgets: Vec<(String, f64)>,
 }
 
 impl RetryBudgets {
-    /// Retries that a class may make before its first attempts earn more.
-    const START: f64 = 3.0;
-    /// Largest saved budget in retries.
-    const CAP: f64 = 50.0;
+    /// Retries available to a class before its first attempts earn more.
+    const INITIAL_RETRIES: f64 = 3.0;
+    /// Largest budget that a class can save, in retries.
+    const MAX_RETRIES: f64 = 50.0;
 
-    /// Earns budget from a first attempt.
+    /// Adds `percent` hundredths of a retry to the budget for a first attempt.
     pub fn earn(&mut self, class: &str, percent: u8) {
         let budget = self.budget(class);
-        *budget = (*budget + f64::from(percent) / 100.0).min(Self::CAP);
+        *budget = (*budget + f64::from(percent) / 100.0).min(Self::MAX_RETRIES);
     }
 
     /// Spends one retry and returns whether the budget allowed it.
@@ -163,11 +171,12 @@
     fn budget(&mut self, class: &str) -> &mut f64 {
         let found = self
             .budgets
-            .binary_search_by(|(each, _)| each.as_str().cmp(class));
-        let at = found.unwrap_or_else(|at| {
-            self.budgets.insert(at, (class.to_owned(), Self::START));
-            at
+            .binary_search_by(|(name, _)| name.as_str().cmp(class));
+        let index = found.unwrap_or_else(|index| {
+            self.budgets
+                .insert(index, (class.to_owned(), Self::INITIAL_RETRIES));
+            index
         });
-        &mut self.budgets[at].1
+        &mut self.budgets[index].1
     }
 }
--- a/crates/peridotdeck-core/src/pool.rs
+++ b/crates/peridotdeck-core/src/pool.rs
@@ -1,9 +1,10 @@
-//! The scheduler of a pool, held by one owner node of the pool's data centre.
+//! The scheduler of a pool, run by its owner: one node of the pool's data centre.
 //!
-//! Entry nodes ask the owner for a slot and stream the answer from the endpoint themselves, so
-//! priority, fairness and cold limits hold over all nodes at the cost of two small messages a
-//! request. A new owner is told by the entry nodes what they hold, and settles before it trusts its
-//! own count. `docs/design/POOLS.md` weighs the alternatives.
+//! An entry node requests a slot from the owner and then streams the answer from the endpoint
+//! itself. Priority, fairness and cold limits thus hold over all nodes, at the cost of two small
+//! messages per request. Entry nodes report to a new owner the slots that they hold. The new owner
+//! settles, that is, it waits for these reports before it trusts its own count.
+//! `docs/design/POOLS.md` compares the alternatives.
 
 mod handover;
 mod placement;
@@ -22,29 +23,33 @@
     strategy::Strategy,
 };
 
-/// Time for which a new owner does not trust its own count.
+/// Time for which a new owner waits for reports of held slots before it trusts its own count.
+///
+/// During this time cold endpoints get no requests.
 pub const SETTLE_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time after which a slot is free again if its holder no longer states that it holds it, or a
-/// request is dropped whose node is silent. Holders state their slots every two seconds.
-const HOLDER_SILENCE: Duration = Duration::from_secs(12);
+/// Time after which a slot is freed if its entry node no longer reports that it holds it.
+///
+/// Entry nodes report their slots every two seconds. Waiting requests are removed after the same
+/// time if their entry node is silent.
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Bulk requests that wait in one pool at most; more are refused at the door.
-const MAX_BULK: usize = 10_000;
+/// Most bulk requests that wait in one pool; further ones are denied on arrival.
+const MAX_QUEUED_BULK: usize = 10_000;
 
-/// Time since the last interactive request for which slots are kept free for the next.
-const RECENT: Duration = Duration::from_secs(10);
+/// Time after an interactive request for which slots are reserved for the next one.
+const INTERACTIVE_RESERVE_TIME: Duration = Duration::from_secs(10);
 
-/// One slot of this many is kept free of bulk while interactive work is recent.
-const RESERVE_PART: u32 = 10;
+/// Divisor of a pool's limit that gives the slots reserved for interactive requests.
+const RESERVE_DIVISOR: u32 = 10;
 
-/// Preemptions that one bulk attempt bears before it is left alone.
-const MAX_PREEMPTIONS: u8 = 3;
+/// Preemptions of one bulk request, by fingerprint, after which its runs are not preempted.
+const MAX_PREEMPTIONS_PER_REQUEST: u8 = 3;
 
-/// Message to the entry node of an attempt.
+/// Message and the node that receives it: an entry node or the next owner.
 pub type Message = (id::Node, Body);
 
-/// One slot in use.
+/// One slot in use and the attempt that runs in it.
 #[derive(Clone, Debug)]
 struct Run {
     attempt: id::Attempt,
@@ -53,15 +58,18 @@
     class: String,
     bulk: bool,
     fingerprint: id::Fingerprint,
-    suspect: bool,
-    since: id::Time,
-    /// When its holder last stated that it holds the slot.
+    /// Whether the request was running at an endpoint that crashed.
+    crash_suspect: bool,
+    /// When the slot was granted, or reported to this owner.
+    started: id::Time,
+    /// When the entry node last reported that it holds the slot.
     confirmed: id::Time,
+    /// Whether the entry node was sent a preemption and has not returned the slot yet.
     stopping: bool,
 }
 
 impl Run {
-    fn held(&self) -> Held {
+    fn to_held(&self) -> Held {
         Held {
             attempt: self.attempt,
             endpoint: self.endpoint,
@@ -71,14 +79,14 @@
     }
 }
 
-/// Counts that prove the promises; all but `granted` and `preempted` stay 0.
+/// Counts for metrics and checks; `shed_for_bulk` must stay 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Slots granted.
     pub granted: u64,
     /// Bulk attempts preempted.
     pub preempted: u64,
-    /// Interactive requests refused while bulk could have been preempted.
+    /// Interactive requests denied although bulk requests could have been preempted.
     pub shed_for_bulk: u64,
 }
 
@@ -91,17 +99,21 @@
     engines: Vec<engine::State>,
     queue: Queue,
     runs: Vec<Run>,
-    settled: id::Time,
+    /// End of the settling time.
+    settled_at: id::Time,
     last_interactive: Option<id::Time>,
-    busy: Mean,
-    turn: usize,
-    proven: Vec<id::Fingerprint>,
+    /// Mean time for which an interactive request holds a slot.
+    service_time: Mean,
+    round_robin_turn: usize,
+    /// Sorted fingerprints of requests that have finished, so copies may run in parallel.
+    completed: Vec<id::Fingerprint>,
+    /// Preemptions of each bulk request that has not finished, sorted by fingerprint.
     preemptions: Vec<(id::Fingerprint, u8)>,
     counts: Counts,
 }
 
 impl Scheduler {
-    /// Starts the scheduler of a pool that has been owned by another node or by none.
+    /// Creates the scheduler of a pool that this node did not own before; it settles first.
     #[must_use]
     pub fn new(pool: Pool, snapshot: Arc<Snapshot>, strategy: Strategy, now: id::Time) -> Self {
         let mut scheduler = Self {
@@ -111,11 +123,11 @@
             engines: Vec::new(),
             queue: Queue::default(),
             runs: Vec::new(),
-            settled: now + SETTLE_PERIOD,
+            settled_at: now + SETTLE_PERIOD,
             last_interactive: None,
-            busy: Mean::default(),
-            turn: 0,
-            proven: Vec::new(),
+            service_time: Mean::default(),
+            round_robin_turn: 0,
+            completed: Vec::new(),
             preemptions: Vec::new(),
             counts: Counts::default(),
         };
@@ -123,31 +135,31 @@
         scheduler
     }
 
-    /// Returns the pool.
+    /// Returns the configuration of the pool.
     #[must_use]
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// Returns the counts that prove the promises.
+    /// Returns the counts for metrics and checks.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns what is known about each endpoint.
+    /// Returns the state of each endpoint.
     #[must_use]
     pub fn engines(&self) -> &[engine::State] {
         &self.engines
     }
 
-    /// Returns the waiting requests.
+    /// Returns the waiting requests in order of arrival.
     #[must_use]
     pub fn waiting(&self) -> &[Entry] {
         self.queue.entries()
     }
 
-    /// Follows a configuration change.
+    /// Applies a configuration change; endpoints that remain in the pool keep their state.
     pub fn update(&mut self, snapshot: Arc<Snapshot>) {
         if let Some(pool) = snapshot.pool(self.pool.id) {
             self.pool = pool.clone();
@@ -172,10 +184,10 @@
         self.snapshot = snapshot;
     }
 
-    /// Handles a request for a slot.
+    /// Handles a request for a slot: grants, queues or denies it.
     pub fn handle_ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Message>) {
         if let Some(run) = self.runs.iter().find(|run| run.attempt == ask.attempt) {
-            // The grant was lost on its way; the same grant again is harmless.
+            // The grant may have been lost; repeating it is harmless.
             out.push((
                 node,
                 Grant {
@@ -191,25 +203,25 @@
             out.push((node, Queued { attempt }.into()));
             return;
         }
-        let Some(entry) = self.entry(node, ask, now) else {
+        let Some(entry) = self.queue_entry(node, ask, now) else {
             out.push((node, deny(attempt, Reason::NoEndpoint, Duration::ZERO)));
             return;
         };
         if !entry.bulk {
             self.last_interactive = Some(now);
         }
-        if let Some(reply) = self.refuse(&entry, now) {
+        if let Some(reply) = self.refusal_on_arrival(&entry, now) {
             out.push((node, reply));
             return;
         }
         self.queue.push(entry);
-        self.pump(now, out);
+        self.grant_slots(now, out);
         if self.queue.contains(attempt) {
             out.push((node, Queued { attempt }.into()));
         }
     }
 
-    fn entry(&self, node: id::Node, ask: Ask, now: id::Time) -> Option<Entry> {
+    fn queue_entry(&self, node: id::Node, ask: Ask, now: id::Time) -> Option<Entry> {
         let class = self.snapshot.class(&ask.class)?;
         let organisation = self.snapshot.organisation(&ask.organisation)?;
         Some(Entry {
@@ -230,8 +242,10 @@
         })
     }
 
-    /// Refuses at the door what cannot be served in time; later it would cost more.
-    fn refuse(&mut self, entry: &Entry, now: id::Time) -> Option<Body> {
+    /// Returns the denial of a request that cannot be served in time.
+    ///
+    /// A denial on arrival costs less than a later one.
+    fn refusal_on_arrival(&mut self, entry: &Entry, now: id::Time) -> Option<Body> {
         if usize::from(entry.crashes) >= quarantine::CRASH_LIMIT {
             return Some(deny(entry.attempt, Reason::Quarantined, Duration::ZERO));
         }
@@ -246,45 +260,53 @@
             return None;
         }
         if entry.bulk {
-            let waiting = self.queue.entries().iter().filter(|each| each.bulk).count();
+            let waiting = self
+                .queue
+                .entries()
+                .iter()
+                .filter(|entry| entry.bulk)
+                .count();
             let retry = Duration::from_secs(60);
-            return (waiting >= MAX_BULK).then(|| deny(entry.attempt, Reason::Overload, retry));
+            return (waiting >= MAX_QUEUED_BULK)
+                .then(|| deny(entry.attempt, Reason::Overload, retry));
         }
         let class = self.snapshot.class(&entry.class)?;
-        let wait = self.wait(entry.tier, now);
+        let wait = self.expected_wait(entry.tier, now);
         let waited = now.saturating_sub(entry.arrived);
-        // A slot that is free, or that bulk can give up, is never refused, however late it is.
+        // With a free or preemptible slot a request is never denied, however long it has waited.
         if wait.is_zero() || waited + wait <= queue_timeout(class) {
             return None;
         }
-        // The expected wait counts preemptible bulk as free, so nothing is shed to spare bulk.
-        self.counts.shed_for_bulk += u64::from(self.preemptible() > self.waiting_interactive());
+        // The expected wait counts preemptible bulk as free, so nothing is shed to spare bulk and
+        // this adds 0.
+        self.counts.shed_for_bulk +=
+            u64::from(self.preemptible_count() > self.queued_interactive());
         Some(deny(entry.attempt, Reason::Overload, wait))
     }
 
-    /// Returns the expected wait of one more interactive request of a tier.
-    fn wait(&self, tier: u8, now: id::Time) -> Duration {
-        /// Service time in milliseconds assumed before the first answer.
-        const UNKNOWN_MS: f64 = 500.0;
-        let limit = self.limit(now);
-        let free = self.free(now);
+    /// Returns the expected wait for a slot of one more interactive request of a tier.
+    fn expected_wait(&self, tier: u8, now: id::Time) -> Duration {
+        /// Service time in milliseconds that is assumed before the first sample.
+        const DEFAULT_SERVICE_MS: f64 = 500.0;
+        let limit = self.total_limit(now);
+        let free = self.total_free(now);
         let ahead = self
             .queue
             .entries()
             .iter()
-            .filter(|each| !each.bulk && each.tier <= tier)
+            .filter(|entry| !entry.bulk && entry.tier <= tier)
             .count();
-        let available = free as usize + self.preemptible();
+        let available = free as usize + self.preemptible_count();
         if ahead < available {
             return Duration::ZERO;
         }
-        let busy_ms = self.busy.value().unwrap_or(UNKNOWN_MS);
-        let turns = (ahead - available + 1) as f64 / f64::from(limit.max(1));
-        Duration::from_secs_f64(turns * busy_ms / 1e3)
+        let service_ms = self.service_time.value().unwrap_or(DEFAULT_SERVICE_MS);
+        let rounds = (ahead - available + 1) as f64 / f64::from(limit.max(1));
+        Duration::from_secs_f64(rounds * service_ms / 1e3)
     }
 
-    /// Returns the requests that all endpoints together may run now.
-    fn limit(&self, now: id::Time) -> u32 {
+    /// Returns how many requests all endpoints together may run now.
+    fn total_limit(&self, now: id::Time) -> u32 {
         let settling = self.is_settling(now);
         self.engines
             .iter()
@@ -293,7 +315,7 @@
     }
 
     /// Returns the free slots of all endpoints.
-    fn free(&self, now: id::Time) -> u32 {
+    fn total_free(&self, now: id::Time) -> u32 {
         let settling = self.is_settling(now);
         self.engines
             .iter()
@@ -301,7 +323,7 @@
             .sum()
     }
 
-    fn waiting_interactive(&self) -> usize {
+    fn queued_interactive(&self) -> usize {
         self.queue
             .entries()
             .iter()
@@ -310,30 +332,30 @@
     }
 
     fn is_settling(&self, now: id::Time) -> bool {
-        now < self.settled
+        now < self.settled_at
     }
 
-    /// Takes a slot back, or removes a request that still waits.
+    /// Frees the slot of an attempt, or removes the attempt from the queue.
     pub fn handle_done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Message>) {
         self.queue.remove(done.attempt);
-        if let Some(at) = self.runs.iter().position(|run| run.attempt == done.attempt) {
-            let run = self.runs.swap_remove(at);
-            self.learn(&run, done, now);
+        if let Some(index) = self.runs.iter().position(|run| run.attempt == done.attempt) {
+            let run = self.runs.swap_remove(index);
+            self.record_outcome(&run, done, now);
         }
-        self.pump(now, out);
+        self.grant_slots(now, out);
     }
 
-    fn learn(&mut self, run: &Run, done: &Done, now: id::Time) {
+    fn record_outcome(&mut self, run: &Run, done: &Done, now: id::Time) {
         if !run.bulk {
-            self.busy.add(now.saturating_sub(run.since));
+            self.service_time.add(now.saturating_sub(run.started));
         }
         if done.outcome == Outcome::Finished {
-            self.prove(run.fingerprint);
-            if let Ok(at) = self
+            self.record_completed(run.fingerprint);
+            if let Ok(index) = self
                 .preemptions
-                .binary_search_by_key(&run.fingerprint, |each| each.0)
+                .binary_search_by_key(&run.fingerprint, |entry| entry.0)
             {
-                self.preemptions.remove(at);
+                self.preemptions.remove(index);
             }
         }
         if let Some(state) = self
@@ -342,25 +364,25 @@
             .find(|state| state.id() == run.endpoint)
         {
             let speed = engine::Speed {
-                first: Duration::from_millis(done.first_ms.into()),
-                gap: Duration::from_micros(done.gap_us.into()),
+                first_token: Duration::from_millis(done.first_ms.into()),
+                token_gap: Duration::from_micros(done.gap_us.into()),
             };
             state.finish(done.outcome, speed, now);
         }
     }
 
-    fn prove(&mut self, fingerprint: id::Fingerprint) {
-        /// Fingerprints remembered; all are forgotten together when it is full.
-        const MAX_PROVEN: usize = 8_192;
-        if self.proven.len() >= MAX_PROVEN {
-            self.proven.clear();
+    fn record_completed(&mut self, fingerprint: id::Fingerprint) {
+        /// Most fingerprints in the list; it is cleared as a whole when it is full.
+        const MAX_COMPLETED: usize = 8_192;
+        if self.completed.len() >= MAX_COMPLETED {
+            self.completed.clear();
         }
-        if let Err(at) = self.proven.binary_search(&fingerprint) {
-            self.proven.insert(at, fingerprint);
+        if let Err(index) = self.completed.binary_search(&fingerprint) {
+            self.completed.insert(index, fingerprint);
         }
     }
 
-    /// Learns from a load report.
+    /// Handles a load report of an endpoint.
     pub fn handle_report(
         &mut self,
         endpoint: id::Endpoint,
@@ -371,30 +393,31 @@
         if let Some(state) = self.engines.iter_mut().find(|state| state.id() == endpoint) {
             state.handle_report(report, now);
         }
-        self.pump(now, out);
+        self.grant_slots(now, out);
     }
 
-    /// Ends rests, marks slow endpoints, and refuses what has no endpoint left.
+    /// Ends backoffs, marks slow endpoints, frees unreported slots and denies overdue requests.
     pub fn tick(&mut self, now: id::Time, out: &mut Vec<Message>) {
         let medians = self.medians();
         for state in &mut self.engines {
             state.tick(now);
-            state.compare(medians);
+            state.compare_with_medians(medians);
         }
-        self.release(now, |run| {
-            now.saturating_sub(run.confirmed) > HOLDER_SILENCE
+        self.release_runs(now, |run| {
+            now.saturating_sub(run.confirmed) > HOLDER_TIMEOUT
         });
-        self.refuse_stranded(now, out);
-        self.pump(now, out);
-        self.refuse_late(now, out);
+        self.deny_unservable(now, out);
+        self.grant_slots(now, out);
+        self.deny_overdue(now, out);
     }
 
-    /// Refuses interactive requests that have missed their target while they waited: serving them
-    /// would make others late too. What still waits here after the pump found neither a free slot
-    /// nor bulk to displace.
-    fn refuse_late(&mut self, now: id::Time, out: &mut Vec<Message>) {
-        let coming = self.runs.iter().any(|run| run.stopping);
-        if self.strategy.is_baseline() || coming || self.preemptible() > 0 {
+    /// Denies interactive requests that have exceeded their queue timeout.
+    ///
+    /// Serving them would make others late too. This runs after all grants and preemptions, so the
+    /// requests that still wait found neither a free slot nor bulk to preempt.
+    fn deny_overdue(&mut self, now: id::Time, out: &mut Vec<Message>) {
+        let pending = self.runs.iter().any(|run| run.stopping);
+        if self.strategy.is_baseline() || pending || self.preemptible_count() > 0 {
             return;
         }
         let snapshot = Arc::clone(&self.snapshot);
@@ -405,14 +428,15 @@
                     .is_some_and(|class| now.saturating_sub(entry.arrived) > queue_timeout(class))
         };
         for entry in self.queue.drain(is_late) {
-            let retry = self.wait(entry.tier, now);
+            let retry = self.expected_wait(entry.tier, now);
             out.push((entry.node, deny(entry.attempt, Reason::Overload, retry)));
         }
     }
 
-    /// Sends waiting requests elsewhere when no endpoint is open, as when operators take a data
-    /// centre out.
-    fn refuse_stranded(&mut self, now: id::Time, out: &mut Vec<Message>) {
+    /// Denies all waiting requests when no endpoint is open, so that they go to other pools.
+    ///
+    /// This happens when operators take a data centre out of service.
+    fn deny_unservable(&mut self, now: id::Time, out: &mut Vec<Message>) {
         if self.engines.iter().any(|state| state.limit(now, false) > 0) {
             return;
         }
@@ -424,29 +448,31 @@
         }
     }
 
-    /// Returns the pool's state for gossip.
+    /// Returns the summary of the pool that is sent to other nodes by gossip.
+    ///
+    /// `stamp` is the owner's heartbeat counter.
     #[must_use]
     pub fn summary(&self, stamp: u32, now: id::Time) -> Summary {
-        let free = self.free(now);
+        let free = self.total_free(now);
         let open = self.engines.iter().any(|state| state.limit(now, false) > 0);
         let wait = if open {
-            self.wait(u8::MAX, now).as_millis() as u32
+            self.expected_wait(u8::MAX, now).as_millis() as u32
         } else {
             u32::MAX
         };
         Summary {
             pool: self.pool.id,
             stamp,
-            free: free + self.preemptible() as u32,
-            queued: self.waiting_interactive() as u32,
+            free: free + self.preemptible_count() as u32,
+            queued: self.queued_interactive() as u32,
             wait_ms: wait,
         }
     }
 
-    /// Checks the counts that must agree.
+    /// Checks the invariants of slots, queue and counts.
     ///
     /// # Panics
-    /// If they do not, which is a fault of this program.
+    /// Panics if one is violated, which is a bug in this program.
     pub fn check_invariants(&self) {
         for state in &self.engines {
             let runs = self
@@ -457,7 +483,7 @@
             assert_eq!(
                 state.in_flight() as usize,
                 runs,
-                "slots of endpoint {}",
+                "slots in use and runs differ at endpoint {}",
                 state.id()
             );
         }
@@ -467,23 +493,23 @@
             .iter()
             .filter(|entry| entry.bulk)
             .count();
-        assert!(bulk <= MAX_BULK, "bulk queue is bounded");
+        assert!(bulk <= MAX_QUEUED_BULK, "the bulk queue exceeds its limit");
         assert_eq!(
             self.counts.shed_for_bulk, 0,
-            "interactive work is never shed for bulk"
+            "an interactive request was denied although bulk could be preempted"
         );
     }
 }
 
-/// Returns how long a request of an interactive class may wait for a slot.
+/// Returns the time for which a request of an interactive class may wait for a slot.
 #[must_use]
 pub fn queue_timeout(class: &Class) -> Duration {
-    /// A plain call that waits longer than this part of its target would miss it.
-    const WHOLE_PART: u32 = 2;
+    /// Divisor of the target for a whole answer: a longer wait would make the answer miss it.
+    const WHOLE_ANSWER_DIVISOR: u32 = 2;
     let target = if class.first_token_ms > 0 {
         class.first_token_ms
     } else {
-        class.whole_ms / WHOLE_PART
+        class.whole_ms / WHOLE_ANSWER_DIVISOR
     };
     Duration::from_millis(target.into())
 }
--- a/crates/peridotdeck-core/src/pool/handover.rs
+++ b/crates/peridotdeck-core/src/pool/handover.rs
@@ -1,25 +1,27 @@
-//! Slots that others know of: statements of entry nodes, and changes of the owner.
+//! Synchronisation of slots in use: reports of entry nodes, dead nodes and changes of owner.
 
 use std::time::Duration;
 
 use peridotdeck_wire::{Handover, Held, Holding, Reason};
 
-use super::{HOLDER_SILENCE, Message, Run, SETTLE_PERIOD, Scheduler, deny};
+use super::{HOLDER_TIMEOUT, Message, Run, SETTLE_PERIOD, Scheduler, deny};
 use crate::{engine, id, member::View};
 
 impl Scheduler {
-    /// Settles anew if it has not settled yet: a peer that has just been heard may have owned the
-    /// pool until now, and needs time to learn that it does not.
+    /// Restarts the settling time if it has not ended yet.
+    ///
+    /// A peer that has just appeared may have owned the pool until now, and needs time to notice
+    /// that it no longer does.
     pub fn extend_settling(&mut self, now: id::Time) {
         if self.is_settling(now) {
-            self.settled = now + SETTLE_PERIOD;
+            self.settled_at = now + SETTLE_PERIOD;
         }
     }
 
-    /// Takes an entry node's full statement of the slots that it holds.
+    /// Handles an entry node's full report of the slots that it holds.
     ///
-    /// A new owner learns of grants that another node made; an old one notices slots whose return
-    /// was lost on its way.
+    /// A new owner adopts grants that another owner made. Any owner frees slots whose release
+    /// message was lost.
     pub fn handle_holding(
         &mut self,
         node: id::Node,
@@ -27,39 +29,39 @@
         now: id::Time,
         out: &mut Vec<Message>,
     ) {
-        /// Age from which a grant must be part of the statement.
-        const KNOWN_AGE: Duration = Duration::from_secs(1);
-        let stated = |run: &Run| held.iter().any(|each| each.attempt == run.attempt);
+        /// Age from which a grant must be part of the report; until then it may be in transit.
+        const MIN_REPORTED_AGE: Duration = Duration::from_secs(1);
+        let reported = |run: &Run| held.iter().any(|slot| slot.attempt == run.attempt);
         let lost = |run: &Run| {
-            run.node == node && !stated(run) && now.saturating_sub(run.since) > KNOWN_AGE
+            run.node == node && !reported(run) && now.saturating_sub(run.started) > MIN_REPORTED_AGE
         };
-        self.release(now, lost);
+        self.release_runs(now, lost);
         for run in self
             .runs
             .iter_mut()
-            .filter(|run| run.node == node && stated(run))
+            .filter(|run| run.node == node && reported(run))
         {
             run.confirmed = now;
         }
-        for each in held {
-            self.adopt(node, each, now);
+        for slot in held {
+            self.adopt_run(node, slot, now);
         }
-        self.pump(now, out);
+        self.grant_slots(now, out);
     }
 
-    pub(super) fn release(&mut self, now: id::Time, lost: impl Fn(&Run) -> bool) {
+    pub(super) fn release_runs(&mut self, now: id::Time, lost: impl Fn(&Run) -> bool) {
         for run in self.runs.extract_if(.., |run| lost(run)) {
             if let Some(state) = self
                 .engines
                 .iter_mut()
                 .find(|state| state.id() == run.endpoint)
             {
-                state.release(now);
+                state.release_slot(now);
             }
         }
     }
 
-    pub(super) fn adopt(&mut self, node: id::Node, held: &Held, now: id::Time) {
+    pub(super) fn adopt_run(&mut self, node: id::Node, held: &Held, now: id::Time) {
         let known = self.runs.iter().any(|run| run.attempt == held.attempt);
         let state = self
             .engines
@@ -68,7 +70,7 @@
         let (false, Some(state)) = (known, state) else {
             return;
         };
-        state.adopt(now);
+        state.adopt_slot(now);
         self.queue.remove(held.attempt);
         self.runs.push(Run {
             attempt: held.attempt,
@@ -80,34 +82,36 @@
                 .class(&held.class)
                 .is_some_and(|class| class.bulk),
             fingerprint: held.fingerprint,
-            suspect: false,
-            since: now,
+            crash_suspect: false,
+            started: now,
             confirmed: now,
             stopping: false,
         });
     }
 
-    /// Frees what an entry node held that has died.
+    /// Frees the slots and removes the waiting requests of a dead entry node.
     pub fn forget_node(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Message>) {
         self.queue.drain(|entry| entry.node == node);
-        self.release(now, |run| run.node == node);
-        self.pump(now, out);
+        self.release_runs(now, |run| run.node == node);
+        self.grant_slots(now, out);
     }
 
-    /// Drops the requests of nodes that have been silent for a long time: they have died.
+    /// Removes the waiting requests of nodes that have been silent for `HOLDER_TIMEOUT`.
+    ///
+    /// These nodes have died.
     pub fn drop_silent_nodes(&mut self, view: &View, now: id::Time) {
         let silent = |node: id::Node| {
             view.heard(node)
-                .is_none_or(|heard| now.saturating_sub(heard) > HOLDER_SILENCE)
+                .is_none_or(|last_received| now.saturating_sub(last_received) > HOLDER_TIMEOUT)
         };
         self.queue
             .drain(|entry| entry.node != view.me() && silent(entry.node));
     }
 
-    /// Gives up the pool to its next owner, if there is one.
+    /// Hands the pool over to its next owner, if there is one.
     ///
-    /// Every waiting request is sent there by its entry node. The next owner learns what this one
-    /// knows, so it need not settle.
+    /// Waiting requests are denied, and their entry nodes send them to the next owner. The next
+    /// owner receives the state of this one, so it need not settle.
     pub fn hand_over(&mut self, next: Option<id::Node>, out: &mut Vec<Message>) {
         for entry in self.queue.drain(|_| true) {
             out.push((
@@ -136,7 +140,7 @@
             self.runs
                 .iter()
                 .filter(move |run| run.node == node)
-                .map(Run::held)
+                .map(Run::to_held)
                 .collect()
         };
         nodes
@@ -149,7 +153,7 @@
             .collect()
     }
 
-    /// Takes over what the last owner knew: nothing is left to settle.
+    /// Adopts the state of the last owner and ends the settling time.
     pub fn handle_handover(&mut self, handover: &Handover, now: id::Time) {
         for trust in &handover.trust {
             if let Some(state) = self
@@ -157,14 +161,14 @@
                 .iter_mut()
                 .find(|state| state.id() == trust.endpoint)
             {
-                state.believe(trust);
+                state.inherit_trust(trust);
             }
         }
         for holding in &handover.runs {
             for held in &holding.held {
-                self.adopt(holding.node, held, now);
+                self.adopt_run(holding.node, held, now);
             }
         }
-        self.settled = now;
+        self.settled_at = now;
     }
 }
--- a/crates/peridotdeck-core/src/pool/preemption.rs
+++ b/crates/peridotdeck-core/src/pool/preemption.rs
@@ -1,40 +1,44 @@
-//! Interactive work displaces bulk beyond its guaranteed share.
+//! Preemption of bulk runs beyond their guaranteed share, for interactive requests.
 
 use std::cmp::Reverse;
 
 use peridotdeck_wire::Preempt;
 
-use super::{MAX_PREEMPTIONS, Message, Run, Scheduler};
+use super::{MAX_PREEMPTIONS_PER_REQUEST, Message, Run, Scheduler};
 use crate::{engine, id};
 
 impl Scheduler {
-    /// Returns the bulk runs that interactive work may displace.
-    pub(super) fn preemptible(&self) -> usize {
+    /// Returns the number of bulk runs that may be preempted.
+    pub(super) fn preemptible_count(&self) -> usize {
         self.victims().count()
     }
 
-    /// Bulk runs beyond each class's guaranteed share, which its oldest runs keep.
+    /// Returns the bulk runs that may be preempted.
+    ///
+    /// The oldest runs of each class keep its guaranteed slots.
     pub(super) fn victims(&self) -> impl Iterator<Item = &Run> {
         self.runs.iter().filter(|run| {
-            let older = self.runs.iter().filter(|each| {
-                each.class == run.class && (each.since, each.attempt) < (run.since, run.attempt)
+            let older = self.runs.iter().filter(|other| {
+                other.class == run.class
+                    && (other.started, other.attempt) < (run.started, run.attempt)
             });
             run.bulk
                 && !run.stopping
-                && older.count() >= self.guaranteed(&run.class)
-                && self.bears(run)
+                && older.count() >= self.guaranteed_slots(&run.class)
+                && self.has_preemptions_left(run)
         })
     }
 
-    pub(super) fn bears(&self, run: &Run) -> bool {
-        let at = self
+    /// Returns whether the request may be preempted once more.
+    pub(super) fn has_preemptions_left(&self, run: &Run) -> bool {
+        let index = self
             .preemptions
-            .binary_search_by_key(&run.fingerprint, |each| each.0);
-        at.map_or(0, |at| self.preemptions[at].1) < MAX_PREEMPTIONS
+            .binary_search_by_key(&run.fingerprint, |entry| entry.0);
+        index.map_or(0, |index| self.preemptions[index].1) < MAX_PREEMPTIONS_PER_REQUEST
     }
 
-    /// Returns the slots that a class always gets while it waits.
-    pub(super) fn guaranteed(&self, class: &str) -> usize {
+    /// Returns the number of slots that a class always gets while it has waiting requests.
+    pub(super) fn guaranteed_slots(&self, class: &str) -> usize {
         let share = self
             .snapshot
             .class(class)
@@ -44,40 +48,47 @@
         if share > 0 { part.max(1) } else { 0 }
     }
 
-    pub(super) fn running(&self, class: &str) -> usize {
+    pub(super) fn running_count(&self, class: &str) -> usize {
         self.runs.iter().filter(|run| run.class == class).count()
     }
 
-    pub(super) fn preempt(&mut self, now: id::Time, out: &mut Vec<Message>) {
-        let free = self.free(now);
-        let coming = self.runs.iter().filter(|run| run.stopping).count() + free as usize;
-        let wanted = self.waiting_interactive().saturating_sub(coming);
-        if wanted == 0 {
+    /// Preempts as many bulk runs as waiting interactive requests need slots.
+    pub(super) fn preempt_bulk(&mut self, now: id::Time, out: &mut Vec<Message>) {
+        let free = self.total_free(now);
+        let pending = self.runs.iter().filter(|run| run.stopping).count() + free as usize;
+        let needed = self.queued_interactive().saturating_sub(pending);
+        if needed == 0 {
             return;
         }
-        let mut victims: Vec<(id::Time, id::Attempt)> =
-            self.victims().map(|run| (run.since, run.attempt)).collect();
-        // The youngest run has the least to generate again.
+        let mut victims: Vec<(id::Time, id::Attempt)> = self
+            .victims()
+            .map(|run| (run.started, run.attempt))
+            .collect();
+        // The youngest run has the fewest tokens to generate again.
         victims.sort_by_key(|&key| Reverse(key));
-        for (_, attempt) in victims.into_iter().take(wanted) {
-            self.stop(attempt, out);
+        for (_, attempt) in victims.into_iter().take(needed) {
+            self.preempt_run(attempt, out);
         }
     }
 
-    pub(super) fn stop(&mut self, attempt: id::Attempt, out: &mut Vec<Message>) {
+    /// Sends the preemption of one bulk run to its entry node and counts it.
+    ///
+    /// # Panics
+    /// Panics if the run is interactive, which is a bug in this program.
+    pub(super) fn preempt_run(&mut self, attempt: id::Attempt, out: &mut Vec<Message>) {
         let Some(run) = self.runs.iter_mut().find(|run| run.attempt == attempt) else {
             return;
         };
-        assert!(run.bulk, "an interactive run is never preempted");
+        assert!(run.bulk, "an interactive run was selected for preemption");
         run.stopping = true;
         self.counts.preempted += 1;
         out.push((run.node, Preempt { attempt }.into()));
         match self
             .preemptions
-            .binary_search_by_key(&run.fingerprint, |each| each.0)
+            .binary_search_by_key(&run.fingerprint, |entry| entry.0)
         {
-            Ok(at) => self.preemptions[at].1 += 1,
-            Err(at) => self.preemptions.insert(at, (run.fingerprint, 1)),
+            Ok(index) => self.preemptions[index].1 += 1,
+            Err(index) => self.preemptions.insert(index, (run.fingerprint, 1)),
         }
     }
 }
--- a/crates/peridotdeck-core/src/quarantine.rs
+++ b/crates/peridotdeck-core/src/quarantine.rs
@@ -1,21 +1,22 @@
-//! Requests that crash the endpoints that run them.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! An endpoint that dies gives a strike to every request that it was running. A request with one
-//! strike runs alone among suspects, so the next death names the culprit; with two strikes it is
-//! quarantined, and every node has been told before a third endpoint could run it.
+//! A crash of an endpoint is attributed to every request that it was running. A request with one
+//! crash becomes a suspect and shares no endpoint with other suspects, so the next crash identifies
+//! the cause. With two crashes it is quarantined, and every node has been informed before a third
+//! endpoint could run it.
 
 use crate::id;
 
-/// Strikes after which a request runs no more.
+/// Crashes attributed to a request after which it is quarantined.
 pub const CRASH_LIMIT: usize = 2;
 
-/// Time for which strikes are remembered.
-const MEMORY: id::Time = id::Time::from_secs(600);
+/// Time after its last crash for which a suspect is kept.
+const SUSPECT_LIFETIME: id::Time = id::Time::from_secs(600);
 
-/// Suspects that are remembered at most; the oldest gives way.
+/// Most suspects in the list; a further one evicts the one with the oldest crash.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Fingerprints and the endpoints that died while running them.
+/// Suspects, sorted by fingerprint, and the endpoints that crashed while they ran them.
 #[derive(Clone, Debug, Default)]
 pub struct List {
     suspects: Vec<Suspect>,
@@ -24,66 +25,68 @@
 #[derive(Clone, Debug)]
 struct Suspect {
     fingerprint: id::Fingerprint,
+    /// Endpoints that crashed while they ran the request, at most [`CRASH_LIMIT`].
     endpoints: Vec<id::Endpoint>,
-    last: id::Time,
+    /// Time of the last recorded crash.
+    last_crash: id::Time,
 }
 
 impl List {
-    /// Adds a strike and returns whether it is new.
+    /// Attributes the crash of an endpoint to a request and returns whether it is new.
     pub fn record_crash(
         &mut self,
         fingerprint: id::Fingerprint,
         endpoint: id::Endpoint,
         now: id::Time,
     ) -> bool {
-        let at = match self.find(fingerprint) {
-            Ok(at) => at,
-            Err(at) => {
+        let index = match self.find(fingerprint) {
+            Ok(index) => index,
+            Err(index) => {
                 let suspect = Suspect {
                     fingerprint,
                     endpoints: Vec::new(),
-                    last: now,
+                    last_crash: now,
                 };
-                self.suspects.insert(at, suspect);
-                at
+                self.suspects.insert(index, suspect);
+                index
             }
         };
-        let suspect = &mut self.suspects[at];
-        suspect.last = now;
+        let suspect = &mut self.suspects[index];
+        suspect.last_crash = now;
         let new = !suspect.endpoints.contains(&endpoint);
         if new && suspect.endpoints.len() < CRASH_LIMIT {
             suspect.endpoints.push(endpoint);
         }
-        self.bound();
+        self.evict_oldest();
         new
     }
 
-    /// Clears a suspect that has run to its end.
+    /// Removes a suspect that has finished, unless it is quarantined.
     pub fn clear(&mut self, fingerprint: id::Fingerprint) {
-        if let Ok(at) = self.find(fingerprint)
-            && self.suspects[at].endpoints.len() < CRASH_LIMIT
+        if let Ok(index) = self.find(fingerprint)
+            && self.suspects[index].endpoints.len() < CRASH_LIMIT
         {
-            self.suspects.remove(at);
+            self.suspects.remove(index);
         }
     }
 
-    /// Returns the strikes of a request.
+    /// Returns the number of crashes attributed to a request, at most [`CRASH_LIMIT`].
     #[must_use]
     pub fn crashes(&self, fingerprint: id::Fingerprint) -> usize {
         self.find(fingerprint)
-            .map_or(0, |at| self.suspects[at].endpoints.len())
+            .map_or(0, |index| self.suspects[index].endpoints.len())
     }
 
-    /// Returns whether a request may run no more.
+    /// Returns whether a request is quarantined and must not run.
     #[must_use]
     pub fn is_quarantined(&self, fingerprint: id::Fingerprint) -> bool {
         self.crashes(fingerprint) >= CRASH_LIMIT
     }
 
-    /// Forgets old suspects.
+    /// Removes suspects whose last crash is older than ten minutes.
     pub fn expire(&mut self, now: id::Time) {
         self.suspects
-            .retain(|suspect| now.saturating_sub(suspect.last) < MEMORY);
+            .retain(|suspect| now.saturating_sub(suspect.last_crash) < SUSPECT_LIFETIME);
     }
 
     fn find(&self, fingerprint: id::Fingerprint) -> Result<usize, usize> {
@@ -91,9 +94,10 @@
             .binary_search_by_key(&fingerprint, |suspect| suspect.fingerprint)
     }
 
-    fn bound(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.suspects.len() > MAX_SUSPECTS
-            && let Some(oldest) = (0..self.suspects.len()).min_by_key(|&at| self.suspects[at].last)
+            && let Some(oldest) =
+                (0..self.suspects.len()).min_by_key(|&index| self.suspects[index].last_crash)
         {
             self.suspects.remove(oldest);
         }
--- a/crates/peridotdeck-core/src/rendezvous.rs
+++ b/crates/peridotdeck-core/src/rendezvous.rs
@@ -1,7 +1,7 @@
-//! Rendezvous hashing: every node computes the same order without talking.
+//! Rendezvous hashing: every node computes the same order of nodes without communication.
 //!
-//! When a node comes or goes, only the keys move for which it ranks first, so 240 replacements a
-//! day do not shuffle the fleet.
+//! When a node joins or leaves, only the keys for which it ranks first move to another node. The
+//! 240 replacements a day thus do not redistribute the keys of the whole fleet.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/peridotdeck-core/src/strategy.rs
+++ b/crates/peridotdeck-core/src/strategy.rs
@@ -20,17 +20,17 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Strategy {
-    /// Priorities, fair shares, ramps and preemption; the product.
+    /// Production strategy: priorities, fair shares, gradual warm-up and preemption.
     #[default]
     Deadline,
-    /// Baseline: each endpoint in turn, without queue or priority.
+    /// Baseline: the endpoints in turn, without queue or priorities.
     RoundRobin,
-    /// Baseline: the endpoint with the fewest requests, without queue or priority.
+    /// Baseline: the endpoint with the fewest requests, without queue or priorities.
     LeastOutstanding,
 }
 
 impl Strategy {
-    /// Returns whether the strategy is a baseline, which sends everything on at once.
+    /// Returns whether the strategy is a baseline, which forwards every request at once.
     #[must_use]
     pub fn is_baseline(self) -> bool {
         self != Self::Deadline
