--- a/crates/peridotdeck-core/src/engine.rs
+++ b/crates/peridotdeck-core/src/engine.rs
@@ -21,7 +21,7 @@
 /// Finished requests that raise the limit of a cold endpoint by one slot.
 const FINISHED_PER_COLD_SLOT: u32 = 2;
 
-/// Ratio to the pool's median time to first token above which an endpoint counts as slow.
+/// Ratio to the pool's median time to first token above which an endpoint is slow.
 const SLOW_FIRST_TOKEN_FACTOR: f64 = 3.0;
 
 /// Least excess over the median time to first token, in milliseconds, of a slow endpoint.
@@ -29,7 +29,7 @@
 /// A smaller difference is normal variation, whatever the ratio.
 const SLOW_FIRST_TOKEN_MARGIN_MS: f64 = 100.0;
 
-/// Ratio to the pool's median inter-token latency above which an endpoint counts as slow.
+/// Ratio to the pool's median inter-token latency above which an endpoint is slow.
 const SLOW_TOKEN_GAP_FACTOR: f64 = 2.0;
 
 /// Least excess over the median inter-token latency, in milliseconds, of a slow endpoint.
@@ -59,7 +59,7 @@
 /// Time after its last use for which a prefix is assumed to stay cached.
 const MAX_PREFIX_AGE: Duration = Duration::from_secs(60);
 
-/// Age after which a load report is ignored; the load that it shows may be as old.
+/// Age after which a load report is ignored; a younger one may show load that is as old.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 
 /// Load report of an endpoint, as its HTTP interface returns it.
@@ -366,7 +366,7 @@
 
     /// Ends an expired backoff and drops expired samples.
     ///
-    /// After its backoff the endpoint is cold, because a crash empties its cache.
+    /// After its backoff the endpoint is cold, because a crash loses its caches and its warm state.
     pub fn tick(&mut self, now: id::Time) {
         if let Phase::Down { until } = self.phase
             && now >= until
--- a/crates/peridotdeck-core/src/output_size.rs
+++ b/crates/peridotdeck-core/src/output_size.rs
@@ -51,7 +51,7 @@
     fn update(&mut self, class: &str, organisation: &str, tokens: u32) {
         match self.find(class, organisation) {
             Ok(index) => {
-                self.means[index].1 += NEWEST_WEIGHT * (f64::from(tokens) - self.means[index].1)
+                self.means[index].1 += NEWEST_WEIGHT * (f64::from(tokens) - self.means[index].1);
             }
             Err(index) => {
                 let key = (class.to_owned(), organisation.to_owned());
--- a/crates/peridotdeck-core/src/pool.rs
+++ b/crates/peridotdeck-core/src/pool.rs
@@ -40,7 +40,7 @@
 /// Time after an interactive request for which slots are reserved for the next one.
 const INTERACTIVE_RESERVE_TIME: Duration = Duration::from_secs(10);
 
-/// Divisor of a pool's limit that gives the slots reserved for interactive requests.
+/// Divisor of a pool's limit; the result, rounded up, is reserved for interactive requests.
 const RESERVE_DIVISOR: u32 = 10;
 
 /// Preemptions of one bulk request, by fingerprint, after which its runs are not preempted.
@@ -323,6 +323,7 @@
             .sum()
     }
 
+    /// Returns the number of waiting interactive requests.
     fn queued_interactive(&self) -> usize {
         self.queue
             .entries()
@@ -345,6 +346,7 @@
         self.grant_slots(now, out);
     }
 
+    /// Updates the state of the request and of the endpoint after a run has ended.
     fn record_outcome(&mut self, run: &Run, done: &Done, now: id::Time) {
         if !run.bulk {
             self.service_time.add(now.saturating_sub(run.started));
@@ -371,6 +373,7 @@
         }
     }
 
+    /// Records that a request has finished, so that copies of it may run in parallel.
     fn record_completed(&mut self, fingerprint: id::Fingerprint) {
         /// Most fingerprints in the list; it is cleared as a whole when it is full.
         const MAX_COMPLETED: usize = 8_192;
--- a/crates/peridotdeck-core/src/pool/placement.rs
+++ b/crates/peridotdeck-core/src/pool/placement.rs
@@ -23,9 +23,7 @@
             let open: Vec<usize> = (0..self.engines.len())
                 .filter(|&index| self.engines[index].limit(now, false) > 0)
                 .collect();
-            let Some(&first_open) = open.first() else {
-                return;
-            };
+            let Some(&first) = open.first() else { return };
             self.round_robin_turn += 1;
             let index = match self.strategy {
                 Strategy::RoundRobin => open[self.round_robin_turn % open.len()],
@@ -33,7 +31,7 @@
                     .iter()
                     .copied()
                     .min_by_key(|&index| self.engines[index].in_flight())
-                    .unwrap_or(first_open),
+                    .unwrap_or(first),
             };
             self.grant(attempt, self.engines[index].id(), now, out);
         }
