--- a/crates/peridotdeck-core/src/limit.rs
+++ b/crates/peridotdeck-core/src/limit.rs
@@ -150,12 +150,12 @@
     /// Retries available to a class before its first attempts earn more.
     const INITIAL_RETRIES: f64 = 3.0;
     /// Largest budget that a class can save, in retries.
-    const MAX_RETRIES: f64 = 50.0;
+    const MAX_SAVED_RETRIES: f64 = 50.0;
 
     /// Adds `percent` hundredths of a retry to the budget for a first attempt.
     pub fn earn(&mut self, class: &str, percent: u8) {
         let budget = self.budget(class);
-        *budget = (*budget + f64::from(percent) / 100.0).min(Self::MAX_RETRIES);
+        *budget = (*budget + f64::from(percent) / 100.0).min(Self::MAX_SAVED_RETRIES);
     }
 
     /// Spends one retry and returns whether the budget allowed it.
--- a/crates/peridotdeck-core/src/quarantine.rs
+++ b/crates/peridotdeck-core/src/quarantine.rs
@@ -83,7 +83,7 @@
         self.crashes(fingerprint) >= CRASH_LIMIT
     }
 
-    /// Removes suspects whose last crash is older than ten minutes.
+    /// Removes suspects whose last crash is older than `SUSPECT_LIFETIME`.
     pub fn expire(&mut self, now: id::Time) {
         self.suspects
             .retain(|suspect| now.saturating_sub(suspect.last_crash) < SUSPECT_LIFETIME);
