--- a/crates/peridotdeck-core/src/dispatch/fleet.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet.rs
@@ -18,7 +18,7 @@
 use send::round_time;
 
 use super::{DataCentre, Key, Node, Prefix, endpoint::Load};
-use crate::{id::Time, rank};
+use crate::{id::Time, rendezvous};
 
 /// Time without a heartbeat after which a peer in the same data centre counts as dead.
 const LOCAL_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -236,7 +236,7 @@
     pub fn is_among_first(&self, count: usize, key: Key, now: Time) -> bool {
         let nodes = self.live_nodes(self.data_centre, now);
         let numbers = nodes.iter().map(|&node| u32::from(node));
-        let order = rank::order(u64::from(key), numbers);
+        let order = rendezvous::order(u64::from(key), numbers);
         order
             .iter()
             .take(count)
