--- a/crates/peridotdeck-core/src/book.rs
+++ b/crates/peridotdeck-core/src/config.rs
@@ -13,7 +13,7 @@
 
 /// Parts by key and the checked configuration that they form.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Store {
     parts: Vec<Part>,
     revision: id::Revision,
     snapshot: Option<Arc<Snapshot>>,
@@ -33,7 +33,7 @@
     Rejected(Vec<String>),
 }
 
-impl Book {
+impl Store {
     /// Returns the revision in force; 0 before the first.
     #[must_use]
     pub fn revision(&self) -> id::Revision {
--- a/crates/peridotdeck-core/src/lib.rs
+++ b/crates/peridotdeck-core/src/lib.rs
@@ -11,15 +11,15 @@
 //! - [`engine`]: what the owner knows about one endpoint;
 //! - [`poison`]: requests that crash endpoints;
 //! - [`member`]: which peers are alive, and who owns what;
-//! - [`book`]: the configuration in force.
+//! - [`config`]: the configuration in force.
 //!
 //! [`dispatch`] decides without owners, for sites where each node places its own callers' requests.
 //!
 //! `docs/ARCHITECTURE.md` follows one request through them.
 
 pub mod action;
-pub mod book;
 pub mod claim;
+pub mod config;
 pub mod dispatch;
 pub mod engine;
 pub mod event;
--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -17,8 +17,8 @@
 
 use crate::{
     Action, Event, Strategy,
-    book::{Book, Change},
     claim::{Ledger, must_sync},
+    config::{Change, Store},
     flight::{Candidate, Desk, Outbox, Scene, candidates},
     id,
     member::{GOSSIP, View},
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     view: View,
-    book: Book,
+    book: Store,
     desk: Desk,
     owner: Owner,
     ledger: Ledger,
@@ -89,7 +89,7 @@
         let ids = id::Counter::new(setup.node, setup.incarnation);
         Self {
             view: View::new(setup.node, setup.place, setup.incarnation),
-            book: Book::default(),
+            book: Store::default(),
             desk: Desk::new(ids.clone()),
             owner: Owner::new(setup.strategy),
             ledger: Ledger::new(setup.node),
@@ -118,7 +118,7 @@
 
     /// Returns the configuration parts and their revision.
     #[must_use]
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &Store {
         &self.book
     }
 
--- a/crates/peridotdeck-core/tests/testsuite/config.rs
+++ b/crates/peridotdeck-core/tests/testsuite/config.rs
@@ -1,6 +1,6 @@
 //! Configurations come into force everywhere and never revert.
 
-use peridotdeck_core::book::{Book, Change};
+use peridotdeck_core::config::{Change, Store};
 use peridotdeck_policy::{Class, split};
 use peridotdeck_wire::Part;
 
@@ -19,7 +19,7 @@
 
 #[test]
 fn never_reverts() {
-    let mut book = Book::default();
+    let mut book = Store::default();
     assert!(matches!(book.apply(0, 5, &parts(5)), Change::Adopted(_)));
     assert!(matches!(book.apply(0, 4, &parts(4)), Change::Old));
     assert_eq!(book.revision(), 5);
@@ -27,7 +27,7 @@
 
 #[test]
 fn refuses_whole() {
-    let mut book = Book::default();
+    let mut book = Store::default();
     book.apply(0, 1, &parts(1));
     let broken = Part {
         key: "places".to_owned(),
@@ -50,14 +50,14 @@
 
 #[test]
 fn detects_gap() {
-    let mut book = Book::default();
+    let mut book = Store::default();
     book.apply(0, 1, &parts(1));
     assert!(matches!(book.apply(2, 3, &parts(3)), Change::Gap));
 }
 
 #[test]
 fn sends_deltas() {
-    let mut book = Book::default();
+    let mut book = Store::default();
     book.apply(0, 1, &parts(1));
     let mut changed = parts(1);
     changed.retain(|part| part.key == "classes");
