--- a/crates/peridotdeck-core/benches/decision.rs
+++ b/crates/peridotdeck-core/benches/decision.rs
@@ -4,7 +4,7 @@
 
 use criterion::Criterion;
 use peridotdeck_core::{
-    Strategy, engine, flight::candidates, member::View, pool::Scheduler, request::Call,
+    Strategy, engine, flight::candidates, membership::View, pool::Scheduler, request::Call,
 };
 use peridotdeck_policy::{Class, Organisation, Policy, Service, Snapshot};
 use peridotdeck_wire::{Ask, Beat, Done, Member, Outcome};
--- a/crates/peridotdeck-core/src/flight/candidate.rs
+++ b/crates/peridotdeck-core/src/flight/candidate.rs
@@ -5,7 +5,7 @@
 use peridotdeck_policy::{Pool, Snapshot};
 
 use super::{Flight, Scene};
-use crate::{id, member::View, pool::patience, request::Call};
+use crate::{id, membership::View, pool::patience, request::Call};
 
 /// Delay in milliseconds of a pool in the own region that is not the nearest.
 const REGION_PATH_MS: u64 = 2;
--- a/crates/peridotdeck-core/src/flight/scene.rs
+++ b/crates/peridotdeck-core/src/flight/scene.rs
@@ -6,7 +6,7 @@
 use peridotdeck_wire::Body;
 use rand::rngs::SmallRng;
 
-use crate::{Action, id, member::View};
+use crate::{Action, id, membership::View};
 
 /// What a transition looks at besides the flights.
 #[derive(Debug)]
--- a/crates/peridotdeck-core/src/lib.rs
+++ b/crates/peridotdeck-core/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`pool`]: the queue and the slots of a group of endpoints, held by one owner node;
 //! - [`engine`]: what the owner knows about one endpoint;
 //! - [`poison`]: requests that crash endpoints;
-//! - [`member`]: which peers are alive, and who owns what;
+//! - [`membership`]: which peers are alive, and who owns what;
 //! - [`config`]: the configuration in force.
 //!
 //! [`dispatch`] decides without owners, for sites where each node places its own callers' requests.
@@ -26,7 +26,7 @@
 pub mod flight;
 pub mod id;
 pub mod limit;
-pub mod member;
+pub mod membership;
 pub mod node;
 pub mod owner;
 pub mod poison;
--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -21,7 +21,7 @@
     config::{Change, Store},
     flight::{Candidate, Desk, Outbox, Scene, candidates},
     id,
-    member::{GOSSIP, View},
+    membership::{GOSSIP, View},
     owner::Owner,
     request::{Call, Cause, Refusal},
 };
--- a/crates/peridotdeck-core/src/node/inbox.rs
+++ b/crates/peridotdeck-core/src/node/inbox.rs
@@ -4,7 +4,7 @@
 use peridotdeck_wire::{Body, Envelope};
 use strum::{Display, IntoStaticStr};
 
-use crate::{id, member::View};
+use crate::{id, membership::View};
 
 /// Messages by which a late one may lag behind the newest of its sender.
 const WINDOW: u64 = 128;
--- a/crates/peridotdeck-core/src/owner.rs
+++ b/crates/peridotdeck-core/src/owner.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Strategy, engine, id,
-    member::View,
+    membership::View,
     pool::{Counts, Reply, Scheduler},
 };
 
--- a/crates/peridotdeck-core/src/pool/handover.rs
+++ b/crates/peridotdeck-core/src/pool/handover.rs
@@ -5,7 +5,7 @@
 use peridotdeck_wire::{Handover, Held, Holding, Reason};
 
 use super::{HOLDER_SILENCE, Reply, Run, SETTLE, Scheduler, deny};
-use crate::{engine, id, member::View};
+use crate::{engine, id, membership::View};
 
 impl Scheduler {
     /// Settles anew if it has not settled yet: a peer that has just been heard may have owned the
--- a/crates/peridotdeck-core/tests/testsuite/membership.rs
+++ b/crates/peridotdeck-core/tests/testsuite/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use peridotdeck_core::{Event, id, member::View, node::Inbox};
+use peridotdeck_core::{Event, id, membership::View, node::Inbox};
 use peridotdeck_policy::digest_name;
 use peridotdeck_wire::{Body, Envelope, Fetch, Member};
 
