--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -3,10 +3,10 @@
 //! [`Node::handle`] is the only way in. Messages that the node sends to itself, because it owns the
 //! pool or witnesses the key, take the same path as a peer's, without the network.
 
-mod inbox;
+mod filter;
 mod spread;
 
-pub use inbox::{Drops, Inbox};
+pub use filter::{Drops, Filter};
 pub use spread::Spread;
 
 use std::{mem, sync::Arc, time::Duration};
@@ -64,7 +64,7 @@
     desk: Desk,
     owner: Owner,
     ledger: Ledger,
-    inbox: Inbox,
+    filter: Filter,
     spread: Spread,
     rng: SmallRng,
     requests: id::Counter,
@@ -93,7 +93,7 @@
             desk: Desk::new(ids.clone()),
             owner: Owner::new(setup.strategy),
             ledger: Ledger::new(setup.node),
-            inbox: Inbox::default(),
+            filter: Filter::default(),
             spread: Spread::default(),
             rng: SmallRng::seed_from_u64(setup.seed),
             requests: ids,
@@ -149,7 +149,7 @@
     /// Returns the counts of messages that were not believed.
     #[must_use]
     pub fn drops(&self) -> Drops {
-        self.inbox.drops()
+        self.filter.drops()
     }
 
     /// Returns whether the node may serve callers: configured, current and not leaving.
@@ -410,7 +410,7 @@
 
     fn receive(&mut self, envelope: Envelope, now: id::Time, out: &mut Outbox) {
         let nonce = self.spread.last_nonce();
-        let Ok(restarted) = self.inbox.accept(&envelope, &self.view, nonce) else {
+        let Ok(restarted) = self.filter.accept(&envelope, &self.view, nonce) else {
             return;
         };
         self.view.touch(envelope.sender, now);
--- a/crates/peridotdeck-core/src/node/inbox.rs
+++ b/crates/peridotdeck-core/src/node/filter.rs
@@ -46,12 +46,12 @@
 
 /// What has come from each sender.
 #[derive(Clone, Debug, Default)]
-pub struct Inbox {
+pub struct Filter {
     senders: Vec<Sender>,
     drops: Drops,
 }
 
-impl Inbox {
+impl Filter {
     /// Returns the counts of dropped messages.
     #[must_use]
     pub fn drops(&self) -> Drops {
--- a/crates/peridotdeck-core/tests/testsuite/membership.rs
+++ b/crates/peridotdeck-core/tests/testsuite/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use peridotdeck_core::{Event, id, membership::View, node::Inbox};
+use peridotdeck_core::{Event, id, membership::View, node::Filter};
 use peridotdeck_policy::digest_name;
 use peridotdeck_wire::{Body, Envelope, Fetch, Member};
 
@@ -97,8 +97,8 @@
         leaving: false,
     };
     view.follow(1, vec![member(1), member(2)]);
-    let mut inbox = Inbox::default();
-    let mut accepted = |envelope: Envelope| inbox.accept(&envelope, &view, 0).is_ok();
+    let mut filter = Filter::default();
+    let mut accepted = |envelope: Envelope| filter.accept(&envelope, &view, 0).is_ok();
     assert!(accepted(envelope(2, "a", 5, 1)));
     assert!(!accepted(envelope(2, "a", 5, 1)), "replayed");
     assert!(!accepted(envelope(2, "a", 4, 9)), "of an earlier process");
@@ -106,7 +106,7 @@
     assert!(!accepted(envelope(3, "a", 5, 1)), "not in the VM list");
     assert!(accepted(envelope(2, "a", 5, 3)));
     assert!(accepted(envelope(2, "a", 5, 2)), "late but new");
-    let drops = inbox.drops();
+    let drops = filter.drops();
     assert_eq!(
         (drops.replayed, drops.stale, drops.foreign, drops.unknown),
         (1, 1, 1, 1)
