--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -3,11 +3,11 @@
 //! [`Node::handle`] is the only way in. Messages that the node sends to itself, because it owns the
 //! pool or witnesses the key, take the same path as a peer's, without the network.
 
+mod fetcher;
 mod filter;
-mod spread;
 
+pub use fetcher::Fetcher;
 pub use filter::{Drops, Filter};
-pub use spread::Spread;
 
 use std::{mem, sync::Arc, time::Duration};
 
@@ -65,7 +65,7 @@
     owner: Owner,
     ledger: Ledger,
     filter: Filter,
-    spread: Spread,
+    fetcher: Fetcher,
     rng: SmallRng,
     requests: id::Counter,
     last_tick: id::Time,
@@ -94,7 +94,7 @@
             owner: Owner::new(setup.strategy),
             ledger: Ledger::new(setup.node),
             filter: Filter::default(),
-            spread: Spread::default(),
+            fetcher: Fetcher::default(),
             rng: SmallRng::seed_from_u64(setup.seed),
             requests: ids,
             last_tick: id::Time::ZERO,
@@ -257,7 +257,7 @@
         self.last_tick = now;
         self.view.refresh(now);
         self.check_proof(now, out);
-        if let Some(delta) = self.spread.release(now) {
+        if let Some(delta) = self.fetcher.release(now) {
             self.adopt(&delta, now, out);
         }
         if self.unproven.is_none() {
@@ -302,7 +302,7 @@
         self.view.excuse(now);
         self.owner.abandon();
         self.desk.park();
-        let nonce = self.spread.nonce();
+        let nonce = self.fetcher.nonce();
         self.unproven = Some(Unproven { nonce, since: now });
         self.fetch_from(&self.some_peers(), nonce, out);
     }
@@ -409,7 +409,7 @@
     // Messages.
 
     fn receive(&mut self, envelope: Envelope, now: id::Time, out: &mut Outbox) {
-        let nonce = self.spread.last_nonce();
+        let nonce = self.fetcher.last_nonce();
         let Ok(restarted) = self.filter.accept(&envelope, &self.view, nonce) else {
             return;
         };
@@ -492,7 +492,7 @@
     // Configuration and VM list.
 
     fn fetch(&mut self, from: id::Node, now: id::Time, out: &mut Outbox) {
-        if let Some(nonce) = self.spread.may_fetch(now) {
+        if let Some(nonce) = self.fetcher.may_fetch(now) {
             self.fetch_from(&[from], nonce, out);
         }
     }
@@ -531,7 +531,7 @@
     /// A node without a VM list asks the seeds of its settings.
     fn seek(&mut self, now: id::Time, out: &mut Outbox) {
         if self.view.roster() == 0
-            && let Some(nonce) = self.spread.may_seek(now)
+            && let Some(nonce) = self.fetcher.may_seek(now)
         {
             out.actions.push(Action::Seek {
                 body: self.fetch_body(nonce).into(),
@@ -552,9 +552,9 @@
             .members()
             .iter()
             .all(|member| member.node == self.view.me());
-        let first = self.spread.hold(delta, alone, now);
+        let first = self.fetcher.hold(delta, alone, now);
         if first && !alone {
-            let nonce = self.spread.nonce();
+            let nonce = self.fetcher.nonce();
             let peers: Vec<id::Node> = self.view.members().iter().map(|each| each.node).collect();
             let order = crate::rank::order(
                 nonce,
@@ -569,7 +569,7 @@
         self.follow_roster(delta, now, out);
         self.adopt(delta, now, out);
         if delta.to > 0 {
-            self.spread.answered();
+            self.fetcher.answered();
         }
         if self
             .unproven
--- a/crates/peridotdeck-core/src/node/spread.rs
+++ b/crates/peridotdeck-core/src/node/fetcher.rs
@@ -17,7 +17,7 @@
 
 /// Requests under way, and the service's answer that a starting node holds back.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct Fetcher {
     nonce: u64,
     fetched: Option<id::Time>,
     sought: Option<id::Time>,
@@ -25,7 +25,7 @@
     release_at: Option<id::Time>,
 }
 
-impl Spread {
+impl Fetcher {
     /// Returns a new nonce.
     pub fn nonce(&mut self) -> u64 {
         self.nonce += 1;
