--- a/crates/peridotdeck-core/benches/decision.rs
+++ b/crates/peridotdeck-core/benches/decision.rs
@@ -36,14 +36,14 @@
         callers: String::new(),
         leaving: false,
     };
-    view.follow(1, (1..=NODES).map(member).collect());
+    view.adopt_vm_list(1, (1..=NODES).map(member).collect());
     let beat = |node| Beat {
         node,
         incarnation: 1,
         counter: 1,
         leaving: false,
     };
-    view.hear(&(2..=NODES).map(beat).collect::<Vec<_>>(), NOW);
+    view.receive_heartbeats(&(2..=NODES).map(beat).collect::<Vec<_>>(), NOW);
     view.refresh(NOW);
     view
 }
@@ -53,11 +53,11 @@
         organisation: "matrah".to_owned(),
         service: "wickmind".to_owned(),
         class: "counter".to_owned(),
-        prompt: 100,
+        prompt_tokens: 100,
         max_tokens: 0,
         prefix: 0,
         fingerprint: 1,
-        repeatable: true,
+        idempotent: true,
         resumable: true,
         claim: None,
     }
--- a/crates/peridotdeck-core/src/action.rs
+++ b/crates/peridotdeck-core/src/action.rs
@@ -45,7 +45,7 @@
         body: Body,
     },
     /// Send a message to the peers that the settings name as seeds.
-    Seek {
+    SendToSeeds {
         /// The message.
         body: Body,
     },
--- a/crates/peridotdeck-core/src/config.rs
+++ b/crates/peridotdeck-core/src/config.rs
@@ -42,7 +42,7 @@
 
     /// Returns the highest revision that was refused.
     #[must_use]
-    pub fn rejected(&self) -> id::Revision {
+    pub fn rejected_revision(&self) -> id::Revision {
         self.rejected
     }
 
@@ -54,7 +54,7 @@
 
     /// Returns all parts that changed after a revision.
     #[must_use]
-    pub fn since(&self, revision: id::Revision) -> Vec<Part> {
+    pub fn parts_since(&self, revision: id::Revision) -> Vec<Part> {
         self.parts
             .iter()
             .filter(|part| part.revision > revision)
--- a/crates/peridotdeck-core/src/event.rs
+++ b/crates/peridotdeck-core/src/event.rs
@@ -9,11 +9,11 @@
 /// Something that the shell tells the node.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes; sent every [`crate::node::TICK`].
+    /// Time passes; sent every [`crate::node::TICK_INTERVAL`].
     Tick,
     /// A caller sends a request.
     Arrive {
-        /// Id that the shell chose with [`crate::Node::next_id`].
+        /// Id that the shell chose with [`crate::Node::next_request_id`].
         request: id::Request,
         /// What the caller wants.
         call: request::Call,
@@ -53,9 +53,9 @@
     /// Output tokens that this attempt delivered.
     pub tokens: u32,
     /// Time to the first token at the endpoint.
-    pub first: Option<Duration>,
+    pub time_to_first_token: Option<Duration>,
     /// Time of the whole attempt at the endpoint.
-    pub whole: Duration,
+    pub duration: Duration,
     /// Status and body of a short plain answer, to be kept for a caller that sends again.
     pub answer: Option<(u16, String)>,
 }
@@ -63,8 +63,8 @@
 impl End {
     /// Returns the mean gap between tokens, if at least two came.
     #[must_use]
-    pub fn gap(&self) -> Option<Duration> {
-        let first = self.first.filter(|_| self.tokens > 1)?;
-        Some(self.whole.saturating_sub(first) / (self.tokens - 1))
+    pub fn inter_token_latency(&self) -> Option<Duration> {
+        let first = self.time_to_first_token.filter(|_| self.tokens > 1)?;
+        Some(self.duration.saturating_sub(first) / (self.tokens - 1))
     }
 }
--- a/crates/peridotdeck-core/src/flight/candidate.rs
+++ b/crates/peridotdeck-core/src/flight/candidate.rs
@@ -53,7 +53,7 @@
     let mut candidates: Vec<Candidate> = open
         .filter_map(|pool| {
             let owner = view.owner(pool)?;
-            let path_ms = path_ms(pool, view.place(), snapshot);
+            let path_ms = path_ms(pool, view.data_centre(), snapshot);
             let summary = view.summary(pool.id, now);
             let wait_ms = summary.map_or(0, |summary| u64::from(summary.wait_ms));
             let late = !class.bulk && wait_ms + path_ms > slack_ms;
--- a/crates/peridotdeck-core/src/flight/desk.rs
+++ b/crates/peridotdeck-core/src/flight/desk.rs
@@ -77,14 +77,14 @@
     settlements: Vec<Settlement>,
     statements: Vec<Statement>,
     proofs: Vec<Proof>,
-    attempts: id::Counter,
+    attempts: id::Generator,
     counts: Counts,
 }
 
 impl Desk {
     /// Starts empty.
     #[must_use]
-    pub fn new(attempts: id::Counter) -> Self {
+    pub fn new(attempts: id::Generator) -> Self {
         Self {
             flights: Vec::new(),
             limits: limit::Table::default(),
@@ -188,7 +188,7 @@
                 let refusal = Refusal::not_run(Cause::NoWitness, Some(KEEPALIVE));
                 return self.refuse(at, refusal, out);
             }
-            let roster = scene.view.roster();
+            let roster = scene.view.vm_list_revision();
             flight.round = Some(claim::Round::new(
                 flight.request,
                 claim,
@@ -264,7 +264,7 @@
 
 fn broadcast(strike: &Strike, scene: &Scene<'_>, out: &mut Outbox) {
     for member in scene.view.members() {
-        if member.node != scene.view.me() && scene.view.is_live(member.node, scene.now) {
+        if member.node != scene.view.local_node() && scene.view.is_live(member.node, scene.now) {
             out.tell(member.node, strike.clone());
         }
     }
--- a/crates/peridotdeck-core/src/flight/desk/asking.rs
+++ b/crates/peridotdeck-core/src/flight/desk/asking.rs
@@ -52,7 +52,7 @@
             tokens: self
                 .sizes
                 .tokens(&call.class, &call.organisation, call.max_tokens),
-            prompt: call.prompt,
+            prompt: call.prompt_tokens,
             prefix: call.prefix,
             fingerprint: call.fingerprint,
             strikes: self.poison.strikes(call.fingerprint) as u8,
@@ -145,7 +145,7 @@
     pub(super) fn run(&mut self, at: usize, running: Running, out: &mut Outbox) {
         let flight = &mut self.flights[at];
         assert!(
-            flight.call.repeatable || !flight.may_have_run,
+            flight.call.idempotent || !flight.may_have_run,
             "request {} may have run and must not run again",
             flight.request
         );
--- a/crates/peridotdeck-core/src/flight/desk/claiming.rs
+++ b/crates/peridotdeck-core/src/flight/desk/claiming.rs
@@ -44,10 +44,10 @@
         let (Some(round), Some(claim)) = (&mut flight.round, &flight.call.claim) else {
             return;
         };
-        if round.roster() != scene.view.roster() {
+        if round.roster() != scene.view.vm_list_revision() {
             round.move_to(
                 claim::witnesses(&claim.key, scene.view.members()),
-                scene.view.roster(),
+                scene.view.vm_list_revision(),
             );
         }
         let reachable = round
--- a/crates/peridotdeck-core/src/flight/desk/running.rs
+++ b/crates/peridotdeck-core/src/flight/desk/running.rs
@@ -66,8 +66,12 @@
     pub(super) fn return_slot(running: &Running, end: &End, scene: &Scene<'_>, out: &mut Outbox) {
         let report = Done {
             tokens: end.tokens,
-            first_ms: end.first.map_or(0, |first| first.as_millis().max(1) as u32),
-            gap_us: end.gap().map_or(0, |gap| gap.as_micros() as u32),
+            first_ms: end
+                .time_to_first_token
+                .map_or(0, |first| first.as_millis().max(1) as u32),
+            gap_us: end
+                .inter_token_latency()
+                .map_or(0, |gap| gap.as_micros() as u32),
             ..done(running.attempt, running.pool, running.endpoint, end.outcome)
         };
         let current = scene.owner(running.pool);
@@ -199,7 +203,7 @@
         let flight = &self.flights[at];
         let quarantined = self.poison.strikes(fingerprint) >= QUARANTINE_STRIKES;
         let continues = flight.delivered == 0 || flight.call.resumable;
-        if flight.call.repeatable && continues && !quarantined {
+        if flight.call.idempotent && continues && !quarantined {
             return self.retry(at, running.endpoint, scene, out);
         }
         let cause = if quarantined {
--- a/crates/peridotdeck-core/src/flight/desk/upkeep.rs
+++ b/crates/peridotdeck-core/src/flight/desk/upkeep.rs
@@ -110,12 +110,12 @@
     pub(super) fn own_share(&self, asking: &Asking, scene: &Scene<'_>) -> Option<id::Endpoint> {
         let pool = scene.snapshot.pool(asking.pool)?;
         let ranks = |endpoint: id::Endpoint| {
-            let live = scene.view.live(&pool.place).iter().copied();
+            let live = scene.view.live_nodes(&pool.place).iter().copied();
             let order = rank::order(endpoint.into(), live.filter(|&node| node != asking.owner));
             order
                 .iter()
                 .take(SHARERS)
-                .any(|&node| node == scene.view.me())
+                .any(|&node| node == scene.view.local_node())
         };
         let usable = |number: &id::Endpoint| {
             let endpoint = scene.snapshot.endpoint(*number);
@@ -177,7 +177,7 @@
             if statement.due <= scene.now {
                 statement.due = scene.now + STATEMENT;
                 let held = held(&self.flights, statement.pool);
-                let (pool, node) = (statement.pool, scene.view.me());
+                let (pool, node) = (statement.pool, scene.view.local_node());
                 out.tell(statement.owner, Holding { pool, node, held });
             }
         }
--- a/crates/peridotdeck-core/src/id.rs
+++ b/crates/peridotdeck-core/src/id.rs
@@ -35,12 +35,12 @@
 /// The parts are packed, not hashed: a collision would let two attempts share one slot, or two
 /// calls share one reservation.
 #[derive(Clone, Debug)]
-pub struct Counter {
+pub struct Generator {
     base: u64,
     count: u64,
 }
 
-impl Counter {
+impl Generator {
     /// Starts the numbers of a process.
     #[must_use]
     pub fn new(node: Node, incarnation: Incarnation) -> Self {
--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -18,16 +18,16 @@
 use crate::{
     Action, Event, Strategy,
     claim::{Ledger, must_sync},
-    config::{Change, Store},
+    config::{self, Change},
     flight::{Candidate, Desk, Outbox, Scene, candidates},
     id,
-    membership::{GOSSIP, View},
-    owner::Owner,
+    membership::{GOSSIP_INTERVAL, View},
+    owner,
     request::{Call, Cause, Refusal},
 };
 
 /// Time between two [`Event::Tick`]s.
-pub const TICK: Duration = Duration::from_millis(25);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Time without ticks after which the process has been paused and its knowledge is old.
 const PAUSE: Duration = Duration::from_secs(1);
@@ -47,7 +47,7 @@
     /// Number of this VM in the VM list.
     pub node: id::Node,
     /// Data centre that it stands in.
-    pub place: String,
+    pub data_centre: String,
     /// Start of the process, higher than that of any earlier process of this VM.
     pub incarnation: id::Incarnation,
     /// Seed of all randomness.
@@ -60,14 +60,14 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     view: View,
-    book: Store,
+    config: config::Store,
     desk: Desk,
-    owner: Owner,
+    pools: owner::Pools,
     ledger: Ledger,
     filter: Filter,
     fetcher: Fetcher,
     rng: SmallRng,
-    requests: id::Counter,
+    requests: id::Generator,
     last_tick: id::Time,
     unproven: Option<Unproven>,
     gossip_due: id::Time,
@@ -86,12 +86,12 @@
     /// Starts a node that knows nothing but its own place.
     #[must_use]
     pub fn new(setup: Setup) -> Self {
-        let ids = id::Counter::new(setup.node, setup.incarnation);
+        let ids = id::Generator::new(setup.node, setup.incarnation);
         Self {
-            view: View::new(setup.node, setup.place, setup.incarnation),
-            book: Store::default(),
+            view: View::new(setup.node, setup.data_centre, setup.incarnation),
+            config: config::Store::default(),
             desk: Desk::new(ids.clone()),
-            owner: Owner::new(setup.strategy),
+            pools: owner::Pools::new(setup.strategy),
             ledger: Ledger::new(setup.node),
             filter: Filter::default(),
             fetcher: Fetcher::default(),
@@ -106,20 +106,20 @@
     }
 
     /// Returns a new request id.
-    pub fn next_id(&mut self) -> id::Request {
+    pub fn next_request_id(&mut self) -> id::Request {
         self.requests.issue()
     }
 
     /// Returns the configuration in force.
     #[must_use]
     pub fn snapshot(&self) -> Option<&Arc<Snapshot>> {
-        self.book.snapshot()
+        self.config.snapshot()
     }
 
     /// Returns the configuration parts and their revision.
     #[must_use]
-    pub fn book(&self) -> &Store {
-        &self.book
+    pub fn config(&self) -> &config::Store {
+        &self.config
     }
 
     /// Returns what the node knows of its peers.
@@ -130,14 +130,14 @@
 
     /// Returns the requests of this node's callers.
     #[must_use]
-    pub fn desk(&self) -> &Desk {
+    pub fn request_table(&self) -> &Desk {
         &self.desk
     }
 
     /// Returns the pools that this node schedules.
     #[must_use]
-    pub fn owner(&self) -> &Owner {
-        &self.owner
+    pub fn pools(&self) -> &owner::Pools {
+        &self.pools
     }
 
     /// Returns the reservations that this node witnesses.
@@ -155,7 +155,7 @@
     /// Returns whether the node may serve callers: configured, current and not leaving.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.book.snapshot().is_some() && self.unproven.is_none() && !self.view.is_leaving()
+        self.config.snapshot().is_some() && self.unproven.is_none() && !self.view.is_leaving()
     }
 
     /// Returns whether a leaving node has nothing left to do.
@@ -166,8 +166,8 @@
 
     /// Returns the pools that a request may use, best first.
     #[must_use]
-    pub fn explain(&self, call: &Call, now: id::Time) -> Vec<Candidate> {
-        self.book.snapshot().map_or_else(Vec::new, |snapshot| {
+    pub fn candidates(&self, call: &Call, now: id::Time) -> Vec<Candidate> {
+        self.config.snapshot().map_or_else(Vec::new, |snapshot| {
             candidates(call, Duration::ZERO, &self.view, snapshot, now)
         })
     }
@@ -196,7 +196,7 @@
             Event::Message(envelope) => self.receive(envelope, now, out),
             Event::Published(delta) => self.published(delta, now, out),
             Event::Reported { endpoint, report } => {
-                self.owner.report(endpoint, report, now, &mut out.letters);
+                self.pools.report(endpoint, report, now, &mut out.letters);
             }
             Event::Drain => self.drain(now, out),
         }
@@ -206,7 +206,7 @@
     fn deliver(&mut self, now: id::Time, out: &mut Outbox) {
         while !out.letters.is_empty() {
             for (node, body) in mem::take(&mut out.letters) {
-                if node == self.view.me() {
+                if node == self.view.local_node() {
                     self.read(node, body, now, out);
                 } else if let Some(member) = self.view.member(node) {
                     out.actions.push(Action::Send {
@@ -219,7 +219,7 @@
     }
 
     fn with_scene(&mut self, now: id::Time, act: impl FnOnce(&mut Desk, &mut Scene<'_>)) {
-        let Some(snapshot) = self.book.snapshot() else {
+        let Some(snapshot) = self.config.snapshot() else {
             return;
         };
         let mut scene = Scene {
@@ -235,7 +235,7 @@
         let refused = if self.view.is_leaving() {
             Some(Cause::Leaving)
         } else {
-            self.book
+            self.config
                 .snapshot()
                 .is_none()
                 .then_some(Cause::Unconfigured)
@@ -268,28 +268,28 @@
             out.tell(node, sync);
         }
         if self.gossip_due <= now {
-            self.gossip_due = now + GOSSIP;
+            self.gossip_due = now + GOSSIP_INTERVAL;
             self.gossip(now, out);
         }
         self.seek(now, out);
         self.follow_watch(out);
         self.desk.check();
-        self.owner.check();
+        self.pools.check();
     }
 
     fn tick_owner(&mut self, now: id::Time, out: &mut Outbox) {
-        let Some(snapshot) = self.book.snapshot().cloned() else {
+        let Some(snapshot) = self.config.snapshot().cloned() else {
             return;
         };
-        if !self.view.is_leaving() && self.view.is_acquainted(now) {
-            self.owner
+        if !self.view.is_leaving() && self.view.may_own_pools(now) {
+            self.pools
                 .follow(&self.view, &snapshot, now, &mut out.letters);
         }
-        self.owner.tick(now, &mut out.letters);
+        self.pools.tick(now, &mut out.letters);
         if self.poll_due <= now {
             self.poll_due = now + POLL;
             out.actions.extend(
-                self.owner
+                self.pools
                     .endpoints()
                     .map(|endpoint| Action::Poll { endpoint }),
             );
@@ -299,8 +299,8 @@
     /// The process has been paused: nothing it knows may be acted on until a peer answers.
     fn wake(&mut self, now: id::Time, out: &mut Outbox) {
         self.last_tick = now;
-        self.view.excuse(now);
-        self.owner.abandon();
+        self.view.assume_all_alive(now);
+        self.pools.abandon();
         self.desk.park();
         let nonce = self.fetcher.nonce();
         self.unproven = Some(Unproven { nonce, since: now });
@@ -323,9 +323,9 @@
         for place in places {
             let others = self
                 .view
-                .live(place)
+                .live_nodes(place)
                 .iter()
-                .filter(|&&node| node != self.view.me());
+                .filter(|&&node| node != self.view.local_node());
             peers.extend(others.take(ASKED));
         }
         peers
@@ -345,7 +345,7 @@
     }
 
     fn follow_watch(&mut self, out: &mut Outbox) {
-        let watch = self.book.snapshot().is_none() || self.view.is_watcher();
+        let watch = self.config.snapshot().is_none() || self.view.is_watcher();
         if self.watching != Some(watch) {
             self.watching = Some(watch);
             out.actions.push(Action::Watch(watch));
@@ -353,9 +353,9 @@
     }
 
     fn gossip(&mut self, now: id::Time, out: &mut Outbox) {
-        let (told, probed) = self.view.beat(now, &mut self.rng);
-        let own = self.owner.summaries(self.view.counter(), now);
-        self.view.note(&own, now);
+        let (told, probed) = self.view.start_gossip_round(now, &mut self.rng);
+        let own = self.pools.summaries(self.view.heartbeat_count(), now);
+        self.view.receive_summaries(&own, now);
         for node in told {
             out.tell(node, self.digest(false, now));
         }
@@ -366,14 +366,14 @@
 
     fn digest(&self, probe: bool, now: id::Time) -> Gossip {
         let pools = self
-            .book
+            .config
             .snapshot()
             .map_or_else(Vec::new, |each| self.view.summaries(each, now));
         Gossip {
             probe,
-            revision: self.book.revision(),
-            roster: self.view.roster(),
-            beats: self.view.beats(),
+            revision: self.config.revision(),
+            roster: self.view.vm_list_revision(),
+            beats: self.view.heartbeats(),
             pools,
         }
     }
@@ -382,16 +382,16 @@
         if self.view.is_leaving() {
             return;
         }
-        self.view.leave();
+        self.view.start_leaving();
         self.view.refresh(now);
-        if let Some(snapshot) = self.book.snapshot().cloned() {
-            self.owner
+        if let Some(snapshot) = self.config.snapshot().cloned() {
+            self.pools
                 .follow(&self.view, &snapshot, now, &mut out.letters);
         }
         // Everyone in the data centre learns at once, so that the new owners start at once.
-        self.view.beat(now, &mut self.rng);
+        self.view.start_gossip_round(now, &mut self.rng);
         let digest = self.digest(false, now);
-        for &node in self.view.live(self.view.place()) {
+        for &node in self.view.live_nodes(self.view.data_centre()) {
             out.tell(node, digest.clone());
         }
         for entry in self.ledger.entries(now) {
@@ -413,9 +413,9 @@
         let Ok(restarted) = self.filter.accept(&envelope, &self.view, nonce) else {
             return;
         };
-        self.view.touch(envelope.sender, now);
+        self.view.record_message(envelope.sender, now);
         if restarted {
-            self.owner.forget(envelope.sender, now, &mut out.letters);
+            self.pools.forget(envelope.sender, now, &mut out.letters);
         }
         self.read(envelope.sender, envelope.body, now, out);
     }
@@ -424,12 +424,12 @@
         match body {
             Body::Gossip(gossip) => self.hear(from, &gossip, now, out),
             Body::Ask(ask) if self.unproven.is_none() => {
-                self.owner.ask(from, ask, now, &mut out.letters);
+                self.pools.ask(from, ask, now, &mut out.letters);
             }
             Body::Ask(_) => {}
-            Body::Done(done) => self.owner.done(&done, now, &mut out.letters),
-            Body::Holding(holding) => self.owner.hold(from, &holding, now, &mut out.letters),
-            Body::Handover(handover) => self.owner.inherit(handover, now),
+            Body::Done(done) => self.pools.done(&done, now, &mut out.letters),
+            Body::Holding(holding) => self.pools.hold(from, &holding, now, &mut out.letters),
+            Body::Handover(handover) => self.pools.inherit(handover, now),
             Body::Queued(queued) => self.desk.queued(queued.attempt),
             Body::Grant(grant) => {
                 let (attempt, endpoint) = (grant.attempt, grant.endpoint);
@@ -464,7 +464,7 @@
 
     fn witness(&mut self, from: id::Node, claim: &Claim, now: id::Time, out: &mut Outbox) {
         let answer = self.ledger.vote(claim, now);
-        if answer == Answer::Stale && claim.roster > self.view.roster() {
+        if answer == Answer::Stale && claim.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
         }
         out.tell(
@@ -478,13 +478,13 @@
     }
 
     fn hear(&mut self, from: id::Node, gossip: &Gossip, now: id::Time, out: &mut Outbox) {
-        self.view.hear(&gossip.beats, now);
-        self.view.note(&gossip.pools, now);
+        self.view.receive_heartbeats(&gossip.beats, now);
+        self.view.receive_summaries(&gossip.pools, now);
         if gossip.probe {
             out.tell(from, self.digest(false, now));
         }
-        let newer = gossip.revision > self.book.revision().max(self.book.rejected());
-        if newer || gossip.roster > self.view.roster() {
+        let newer = gossip.revision > self.config.revision().max(self.config.rejected_revision());
+        if newer || gossip.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
         }
     }
@@ -506,13 +506,13 @@
     fn fetch_body(&self, nonce: u64) -> Fetch {
         Fetch {
             nonce,
-            revision: self.book.revision(),
-            roster: self.view.roster(),
+            revision: self.config.revision(),
+            roster: self.view.vm_list_revision(),
         }
     }
 
     fn delta(&self, fetch: &Fetch) -> Delta {
-        let newer_roster = self.view.roster() > fetch.roster;
+        let newer_roster = self.view.vm_list_revision() > fetch.roster;
         let members = if newer_roster {
             self.view.members().to_vec()
         } else {
@@ -521,19 +521,23 @@
         Delta {
             nonce: fetch.nonce,
             from: fetch.revision,
-            to: self.book.revision(),
-            parts: self.book.since(fetch.revision),
-            roster: if newer_roster { self.view.roster() } else { 0 },
+            to: self.config.revision(),
+            parts: self.config.parts_since(fetch.revision),
+            roster: if newer_roster {
+                self.view.vm_list_revision()
+            } else {
+                0
+            },
             members,
         }
     }
 
     /// A node without a VM list asks the seeds of its settings.
     fn seek(&mut self, now: id::Time, out: &mut Outbox) {
-        if self.view.roster() == 0
+        if self.view.vm_list_revision() == 0
             && let Some(nonce) = self.fetcher.may_seek(now)
         {
-            out.actions.push(Action::Seek {
+            out.actions.push(Action::SendToSeeds {
                 body: self.fetch_body(nonce).into(),
             });
         }
@@ -543,7 +547,7 @@
     /// are asked for a newer one, because the service may be stale.
     fn published(&mut self, delta: Delta, now: id::Time, out: &mut Outbox) {
         self.follow_roster(&delta, now, out);
-        if self.book.snapshot().is_some() {
+        if self.config.snapshot().is_some() {
             self.adopt(&delta, now, out);
             return;
         }
@@ -551,14 +555,16 @@
             .view
             .members()
             .iter()
-            .all(|member| member.node == self.view.me());
+            .all(|member| member.node == self.view.local_node());
         let first = self.fetcher.hold(delta, alone, now);
         if first && !alone {
             let nonce = self.fetcher.nonce();
             let peers: Vec<id::Node> = self.view.members().iter().map(|each| each.node).collect();
             let order = crate::rank::order(
                 nonce,
-                peers.into_iter().filter(|&node| node != self.view.me()),
+                peers
+                    .into_iter()
+                    .filter(|&node| node != self.view.local_node()),
             );
             self.fetch_from(&order[..order.len().min(START_ASKED)], nonce, out);
         }
@@ -581,28 +587,28 @@
 
     fn follow_roster(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
         let old: Vec<Member> = self.view.members().to_vec();
-        if delta.roster == 0 || !self.view.follow(delta.roster, delta.members.clone()) {
+        if delta.roster == 0 || !self.view.adopt_vm_list(delta.roster, delta.members.clone()) {
             return;
         }
-        let transfer = must_sync(self.view.place(), &old, self.view.members());
+        let transfer = must_sync(self.view.data_centre(), &old, self.view.members());
         self.ledger
             .follow(delta.roster, self.view.members(), transfer, now);
         for member in &old {
             if self.view.member(member.node).is_none() {
-                self.owner.forget(member.node, now, &mut out.letters);
+                self.pools.forget(member.node, now, &mut out.letters);
             }
         }
         self.view.refresh(now);
     }
 
     fn adopt(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
-        match self.book.apply(delta.from, delta.to, &delta.parts) {
+        match self.config.apply(delta.from, delta.to, &delta.parts) {
             Change::Old | Change::Gap => {}
             Change::Adopted(snapshot) => {
-                self.view.prune(&snapshot);
-                self.owner.update(&snapshot);
+                self.view.remove_unconfigured_pools(&snapshot);
+                self.pools.update(&snapshot);
                 out.actions.push(Action::Adopted {
-                    revision: self.book.revision(),
+                    revision: self.config.revision(),
                 });
                 // Those who are told first tell others at once: a change must be in force in 4 s.
                 self.gossip(now, out);
--- a/crates/peridotdeck-core/src/node/filter.rs
+++ b/crates/peridotdeck-core/src/node/filter.rs
@@ -77,7 +77,7 @@
     }
 
     fn examine(&mut self, envelope: &Envelope, view: &View, nonce: u64) -> Result<bool, Drop> {
-        if view.roster() == 0 {
+        if view.vm_list_revision() == 0 {
             let awaited =
                 matches!(&envelope.body, Body::Delta(delta) if delta.nonce == nonce && nonce != 0);
             return if awaited {
@@ -87,7 +87,9 @@
             };
         }
         let member = view.member(envelope.sender).ok_or(Drop::Unknown)?;
-        if envelope.sender == view.me() || digest_name(&member.place) as u32 != envelope.place {
+        if envelope.sender == view.local_node()
+            || digest_name(&member.place) as u32 != envelope.place
+        {
             return Err(Drop::Foreign);
         }
         self.follow(envelope)
--- a/crates/peridotdeck-core/src/owner.rs
+++ b/crates/peridotdeck-core/src/owner.rs
@@ -16,21 +16,21 @@
 
 /// Schedulers, sorted by pool.
 #[derive(Clone, Debug)]
-pub struct Owner {
+pub struct Pools {
     strategy: Strategy,
-    pools: Vec<Scheduler>,
+    schedulers: Vec<Scheduler>,
     past: Counts,
     handovers: Vec<(Handover, id::Time)>,
     live: Vec<id::Node>,
 }
 
-impl Owner {
+impl Pools {
     /// Starts without pools.
     #[must_use]
     pub fn new(strategy: Strategy) -> Self {
         Self {
             strategy,
-            pools: Vec::new(),
+            schedulers: Vec::new(),
             past: Counts::default(),
             handovers: Vec::new(),
             live: Vec::new(),
@@ -39,13 +39,13 @@
 
     /// Returns the schedulers.
     #[must_use]
-    pub fn pools(&self) -> &[Scheduler] {
-        &self.pools
+    pub fn schedulers(&self) -> &[Scheduler] {
+        &self.schedulers
     }
 
     /// Returns the endpoints whose load reports this node reads.
     pub fn endpoints(&self) -> impl Iterator<Item = id::Endpoint> + '_ {
-        self.pools
+        self.schedulers
             .iter()
             .flat_map(|pool| pool.pool().endpoints.iter().copied())
     }
@@ -58,22 +58,22 @@
         now: id::Time,
         out: &mut Vec<Reply>,
     ) {
-        let live = view.live(view.place());
+        let live = view.live_nodes(view.data_centre());
         let changed = self.live != live;
-        for pool in &mut self.pools {
+        for pool in &mut self.schedulers {
             pool.forget_silent(view, now);
             if changed {
                 pool.settle_longer(now);
             }
         }
         self.live = live.to_vec();
-        let me = Some(view.me());
+        let me = Some(view.local_node());
         let mine = |pool: id::Pool| {
             snapshot
                 .pool(pool)
                 .is_some_and(|pool| view.owner(pool) == me)
         };
-        for mut pool in self.pools.extract_if(.., |pool| !mine(pool.pool().id)) {
+        for mut pool in self.schedulers.extract_if(.., |pool| !mine(pool.pool().id)) {
             let next = snapshot
                 .pool(pool.pool().id)
                 .and_then(|pool| view.owner(pool));
@@ -83,7 +83,7 @@
         for pool in snapshot
             .pools()
             .iter()
-            .filter(|pool| pool.place == view.place())
+            .filter(|pool| pool.place == view.data_centre())
         {
             if view.owner(pool) == me
                 && let Err(at) = self.find(pool.id)
@@ -94,7 +94,7 @@
                 if let Some(handover) = handover {
                     scheduler.inherit(&handover, now);
                 }
-                self.pools.insert(at, scheduler);
+                self.schedulers.insert(at, scheduler);
             }
         }
     }
@@ -113,34 +113,34 @@
             each.pool != handover.pool && now.saturating_sub(*at) < HANDOVER_AGE
         });
         match self.find(handover.pool) {
-            Ok(at) => self.pools[at].inherit(&handover, now),
+            Ok(at) => self.schedulers[at].inherit(&handover, now),
             Err(_) => self.handovers.push((handover, now)),
         }
     }
 
     /// Follows a configuration change.
     pub fn update(&mut self, snapshot: &Arc<Snapshot>) {
-        for pool in &mut self.pools {
+        for pool in &mut self.schedulers {
             pool.update(Arc::clone(snapshot));
         }
     }
 
     /// Drops all pools after a pause: other nodes may own them now.
     pub fn abandon(&mut self) {
-        for pool in self.pools.drain(..) {
+        for pool in self.schedulers.drain(..) {
             add(&mut self.past, pool.counts());
         }
     }
 
     fn find(&self, pool: id::Pool) -> Result<usize, usize> {
-        self.pools
+        self.schedulers
             .binary_search_by_key(&pool, |scheduler| scheduler.pool().id)
     }
 
     /// Handles a request for a slot.
     pub fn ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Reply>) {
         if let Ok(at) = self.find(ask.pool) {
-            return self.pools[at].ask(node, ask, now, out);
+            return self.schedulers[at].ask(node, ask, now, out);
         }
         let deny = Deny {
             attempt: ask.attempt,
@@ -153,20 +153,20 @@
     /// Takes a slot back.
     pub fn done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Reply>) {
         if let Ok(at) = self.find(done.pool) {
-            self.pools[at].done(done, now, out);
+            self.schedulers[at].done(done, now, out);
         }
     }
 
     /// Learns of slots in use.
     pub fn hold(&mut self, node: id::Node, holding: &Holding, now: id::Time, out: &mut Vec<Reply>) {
         if let Ok(at) = self.find(holding.pool) {
-            self.pools[at].hold(node, &holding.held, now, out);
+            self.schedulers[at].hold(node, &holding.held, now, out);
         }
     }
 
     /// Frees what a dead node held.
     pub fn forget(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Reply>) {
-        for pool in &mut self.pools {
+        for pool in &mut self.schedulers {
             pool.forget(node, now, out);
         }
     }
@@ -179,7 +179,7 @@
         now: id::Time,
         out: &mut Vec<Reply>,
     ) {
-        for pool in &mut self.pools {
+        for pool in &mut self.schedulers {
             if pool.pool().endpoints.binary_search(&endpoint).is_ok() {
                 pool.report(endpoint, report, now, out);
             }
@@ -188,7 +188,7 @@
 
     /// Lets time pass in every pool.
     pub fn tick(&mut self, now: id::Time, out: &mut Vec<Reply>) {
-        for pool in &mut self.pools {
+        for pool in &mut self.schedulers {
             pool.tick(now, out);
         }
     }
@@ -196,7 +196,7 @@
     /// Returns the state of all pools for gossip.
     #[must_use]
     pub fn summaries(&self, stamp: u32, now: id::Time) -> Vec<Summary> {
-        self.pools
+        self.schedulers
             .iter()
             .map(|pool| pool.summary(stamp, now))
             .collect()
@@ -206,7 +206,7 @@
     #[must_use]
     pub fn counts(&self) -> Counts {
         let mut sum = self.past;
-        for pool in &self.pools {
+        for pool in &self.schedulers {
             add(&mut sum, pool.counts());
         }
         sum
@@ -217,7 +217,7 @@
     /// # Panics
     /// If they do not, which is a fault of this program.
     pub fn check(&self) {
-        for pool in &self.pools {
+        for pool in &self.schedulers {
             pool.check();
         }
     }
--- a/crates/peridotdeck-core/src/pool/handover.rs
+++ b/crates/peridotdeck-core/src/pool/handover.rs
@@ -91,11 +91,11 @@
     /// Drops the requests of nodes that have been silent for a long time: they have died.
     pub fn forget_silent(&mut self, view: &View, now: id::Time) {
         let silent = |node: id::Node| {
-            view.heard(node)
+            view.last_received(node)
                 .is_none_or(|heard| now.saturating_sub(heard) > HOLDER_SILENCE)
         };
         self.queue
-            .drain(|entry| entry.node != view.me() && silent(entry.node));
+            .drain(|entry| entry.node != view.local_node() && silent(entry.node));
     }
 
     /// Gives up the pool to its next owner, if there is one.
--- a/crates/peridotdeck-core/src/request.rs
+++ b/crates/peridotdeck-core/src/request.rs
@@ -14,7 +14,7 @@
     /// Name of the class.
     pub class: String,
     /// Prompt size in tokens, estimated from bytes.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Largest output in tokens that the caller allows; 0 if it sets none.
     pub max_tokens: u32,
     /// Digest of the beginning of the prompt; 0 for none.
@@ -22,7 +22,7 @@
     /// Digest of customer and whole request.
     pub fingerprint: id::Fingerprint,
     /// Whether running it twice is harmless.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// Whether a partly delivered answer can go on at another endpoint.
     pub resumable: bool,
     /// Reservation that must be won before the call runs.
--- a/crates/peridotdeck-core/tests/testsuite/config.rs
+++ b/crates/peridotdeck-core/tests/testsuite/config.rs
@@ -19,51 +19,51 @@
 
 #[test]
 fn never_reverts() {
-    let mut book = Store::default();
-    assert!(matches!(book.apply(0, 5, &parts(5)), Change::Adopted(_)));
-    assert!(matches!(book.apply(0, 4, &parts(4)), Change::Old));
-    assert_eq!(book.revision(), 5);
+    let mut store = Store::default();
+    assert!(matches!(store.apply(0, 5, &parts(5)), Change::Adopted(_)));
+    assert!(matches!(store.apply(0, 4, &parts(4)), Change::Old));
+    assert_eq!(store.revision(), 5);
 }
 
 #[test]
 fn refuses_whole() {
-    let mut book = Store::default();
-    book.apply(0, 1, &parts(1));
+    let mut store = Store::default();
+    store.apply(0, 1, &parts(1));
     let broken = Part {
         key: "places".to_owned(),
         revision: 2,
         value: "[]".to_owned(),
     };
-    let Change::Rejected(errors) = book.apply(1, 2, &[broken]) else {
+    let Change::Rejected(errors) = store.apply(1, 2, &[broken]) else {
         panic!("it must be refused")
     };
     assert!(
         errors.iter().any(|error| error.contains("place")),
         "{errors:?}"
     );
-    assert_eq!((book.revision(), book.rejected()), (1, 2));
+    assert_eq!((store.revision(), store.rejected_revision()), (1, 2));
     assert!(
-        matches!(book.apply(1, 3, &parts(3)), Change::Adopted(_)),
+        matches!(store.apply(1, 3, &parts(3)), Change::Adopted(_)),
         "the next one is not held up"
     );
 }
 
 #[test]
 fn detects_gap() {
-    let mut book = Store::default();
-    book.apply(0, 1, &parts(1));
-    assert!(matches!(book.apply(2, 3, &parts(3)), Change::Gap));
+    let mut store = Store::default();
+    store.apply(0, 1, &parts(1));
+    assert!(matches!(store.apply(2, 3, &parts(3)), Change::Gap));
 }
 
 #[test]
 fn sends_deltas() {
-    let mut book = Store::default();
-    book.apply(0, 1, &parts(1));
+    let mut store = Store::default();
+    store.apply(0, 1, &parts(1));
     let mut changed = parts(1);
     changed.retain(|part| part.key == "classes");
     changed[0].revision = 2;
-    book.apply(1, 2, &changed);
-    let delta = book.since(1);
+    store.apply(1, 2, &changed);
+    let delta = store.parts_since(1);
     assert_eq!(
         delta
             .iter()
@@ -83,7 +83,7 @@
     world.publish();
     world.run(4_000);
     for seat in 0..8 {
-        assert_eq!(world.node(seat).book().revision(), world.revision);
+        assert_eq!(world.node(seat).config().revision(), world.revision);
     }
 }
 
@@ -98,7 +98,7 @@
     world.start(1);
     world.run(3_000);
     assert_eq!(
-        world.node(1).book().revision(),
+        world.node(1).config().revision(),
         world.revision,
         "peers know better than the platform"
     );
--- a/crates/peridotdeck-core/tests/testsuite/handover.rs
+++ b/crates/peridotdeck-core/tests/testsuite/handover.rs
@@ -8,8 +8,8 @@
     let owns = |seat: &usize| {
         world
             .node(*seat)
-            .owner()
             .pools()
+            .schedulers()
             .iter()
             .any(|pool| pool.pool().service == "wickmind")
     };
@@ -24,8 +24,8 @@
     let owners = (0..5).filter(|&seat| {
         world
             .node(seat)
-            .owner()
             .pools()
+            .schedulers()
             .iter()
             .any(|pool| pool.pool().service == "wickmind")
     });
@@ -103,7 +103,7 @@
     world.noise = Noise::default();
     world.run(12_000);
     let slots: u32 = (0..3)
-        .flat_map(|seat| world.node(seat).owner().pools())
+        .flat_map(|seat| world.node(seat).pools().schedulers())
         .flat_map(peridotdeck_core::pool::Scheduler::engines)
         .map(peridotdeck_core::engine::State::in_flight)
         .sum();
--- a/crates/peridotdeck-core/tests/testsuite/membership.rs
+++ b/crates/peridotdeck-core/tests/testsuite/membership.rs
@@ -20,7 +20,7 @@
     world.kill(7);
     world.run(6_000);
     let unaware =
-        (0..20).filter(|&seat| seat != 7 && world.node(seat).view().live("a").contains(&8));
+        (0..20).filter(|&seat| seat != 7 && world.node(seat).view().live_nodes("a").contains(&8));
     assert_eq!(unaware.count(), 0);
 }
 
@@ -96,7 +96,7 @@
         callers: String::new(),
         leaving: false,
     };
-    view.follow(1, vec![member(1), member(2)]);
+    view.adopt_vm_list(1, vec![member(1), member(2)]);
     let mut filter = Filter::default();
     let mut accepted = |envelope: Envelope| filter.accept(&envelope, &view, 0).is_ok();
     assert!(accepted(envelope(2, "a", 5, 1)));
--- a/crates/peridotdeck-core/tests/testsuite/numbering.rs
+++ b/crates/peridotdeck-core/tests/testsuite/numbering.rs
@@ -1,14 +1,14 @@
 //! Attempts and requests have numbers of their own over all nodes and restarts.
 
-use peridotdeck_core::id::Counter;
+use peridotdeck_core::id::Generator;
 
 #[test]
 fn ids_differ() {
     let mut ids: Vec<u64> = Vec::new();
     for node in 0..400 {
         for incarnation in 1_000..1_004 {
-            let mut counter = Counter::new(node, incarnation);
-            ids.extend((0..4).map(|_| counter.issue()));
+            let mut generator = Generator::new(node, incarnation);
+            ids.extend((0..4).map(|_| generator.issue()));
         }
     }
     let count = ids.len();
--- a/crates/peridotdeck-core/tests/testsuite/poison.rs
+++ b/crates/peridotdeck-core/tests/testsuite/poison.rs
@@ -39,7 +39,7 @@
         for _ in 0..40 {
             world.run(25);
             let hit: Vec<u32> = (0..6)
-                .flat_map(|seat| world.node(seat).desk().flights())
+                .flat_map(|seat| world.node(seat).request_table().flights())
                 .filter_map(|flight| match &flight.stage {
                     peridotdeck_core::flight::Stage::Running(running) => Some(running.endpoint),
                     _ => None,
--- a/crates/peridotdeck-core/tests/testsuite/random.rs
+++ b/crates/peridotdeck-core/tests/testsuite/random.rs
@@ -72,7 +72,7 @@
     for seat in 0..world.seats.len() {
         let node = world.node(seat);
         assert_eq!(
-            node.book().revision(),
+            node.config().revision(),
             world.revision,
             "seat {seat} has the newest configuration"
         );
@@ -82,7 +82,7 @@
             "seat {seat} sees {count} of {live} live nodes"
         );
         let leftover: Vec<_> = node
-            .desk()
+            .request_table()
             .flights()
             .iter()
             .filter(|flight| flight.call.class != "draft")
@@ -105,8 +105,12 @@
         Step::Abandon(at) | Step::Drain(at) if world.is_paused(seat(at)) => {}
         Step::Abandon(at) => {
             let node = world.seats[seat(at)].node.as_ref();
-            let first =
-                node.and_then(|node| node.desk().flights().first().map(|flight| flight.request));
+            let first = node.and_then(|node| {
+                node.request_table()
+                    .flights()
+                    .first()
+                    .map(|flight| flight.request)
+            });
             if let Some(request) = first {
                 world
                     .endings
--- a/crates/peridotdeck-core/tests/testsuite/world.rs
+++ b/crates/peridotdeck-core/tests/testsuite/world.rs
@@ -11,7 +11,7 @@
     event::End,
     flight::Stage,
     id,
-    node::{Setup, TICK},
+    node::{Setup, TICK_INTERVAL},
     request::{Call, Claim, Refusal},
 };
 use peridotdeck_policy::{Class, Config, Organisation, Parts, Policy, Service, digest_name, split};
@@ -224,7 +224,7 @@
         seat.highest = 0;
         seat.node = Some(Node::new(Setup {
             node: seat.id,
-            place: seat.place.clone(),
+            data_centre: seat.place.clone(),
             incarnation: seat.incarnation,
             seed: u64::from(seat.id),
             strategy: Strategy::Deadline,
@@ -234,7 +234,7 @@
     /// A process dies: its runs go on at the endpoints, but nobody reads their answers.
     pub fn kill(&mut self, seat: usize) {
         if let Some(node) = self.seats[seat].node.take() {
-            for flight in node.desk().flights() {
+            for flight in node.request_table().flights() {
                 self.endings.insert(flight.request, Ending::Gone);
             }
         }
@@ -287,9 +287,9 @@
         let Some(node) = &self.seats[seat].node else {
             return;
         };
-        let from = node.book().revision();
+        let from = node.config().revision();
         let to = self.stale.unwrap_or(self.revision);
-        if from >= to && node.view().roster() >= self.roster {
+        if from >= to && node.view().vm_list_revision() >= self.roster {
             return;
         }
         let parts = self
@@ -323,7 +323,7 @@
             return;
         };
         let actions = node.handle(now, event);
-        let revision = node.book().revision();
+        let revision = node.config().revision();
         assert!(
             revision >= self.seats[seat].highest,
             "a configuration reverted"
@@ -410,7 +410,7 @@
             .as_ref()
             .expect("only running nodes dispatch");
         let flight = node
-            .desk()
+            .request_table()
             .flights()
             .iter()
             .find(|flight| flight.request == request);
@@ -477,7 +477,7 @@
         }
         for (index, seat) in self.seats.iter().enumerate() {
             let Some(node) = &seat.node else { continue };
-            for pool in node.owner().pools() {
+            for pool in node.pools().schedulers() {
                 for engine in pool
                     .engines()
                     .iter()
@@ -489,7 +489,7 @@
                     ));
                 }
             }
-            for flight in node.desk().flights() {
+            for flight in node.request_table().flights() {
                 lines.push(format!(
                     "seat {index} {:x} {:?}",
                     flight.request, flight.stage
@@ -520,8 +520,8 @@
         let end = End {
             outcome,
             tokens: 0,
-            first: Some(Duration::from_millis(30)),
-            whole: self.service_time,
+            time_to_first_token: Some(Duration::from_millis(30)),
+            duration: self.service_time,
             answer: Some((200, "done".to_owned())),
         };
         self.give(
@@ -599,7 +599,11 @@
         self.note_amnesia();
         self.deliver();
         self.finish_runs();
-        if self.now.as_millis().is_multiple_of(TICK.as_millis()) {
+        if self
+            .now
+            .as_millis()
+            .is_multiple_of(TICK_INTERVAL.as_millis())
+        {
             for seat in 0..self.seats.len() {
                 if !self.is_paused(seat) {
                     self.give(seat, Event::Tick);
@@ -645,7 +649,7 @@
         if self.is_paused(seat) {
             return None;
         }
-        let request = self.seats[seat].node.as_mut()?.next_id();
+        let request = self.seats[seat].node.as_mut()?.next_request_id();
         self.give(seat, Event::Arrive { request, call });
         Some(request)
     }
@@ -660,7 +664,7 @@
     /// Sums over all nodes.
     pub fn running(&self, class: &str) -> usize {
         let nodes = self.seats.iter().filter_map(|seat| seat.node.as_ref());
-        let flights = nodes.flat_map(|node| node.desk().flights());
+        let flights = nodes.flat_map(|node| node.request_table().flights());
         flights
             .filter(|each| each.call.class == class && matches!(each.stage, Stage::Running(_)))
             .count()
@@ -679,11 +683,11 @@
         organisation: organisation.to_owned(),
         service: "wickmind".to_owned(),
         class: class.to_owned(),
-        prompt: 100,
+        prompt_tokens: 100,
         max_tokens: 0,
         prefix: 0,
         fingerprint: serial + 1,
-        repeatable: true,
+        idempotent: true,
         resumable: true,
         claim: None,
     }
@@ -693,7 +697,7 @@
     Call {
         service: "refill-desk".to_owned(),
         class: "reorder".to_owned(),
-        repeatable: false,
+        idempotent: false,
         resumable: false,
         claim: Some(Claim {
             key: format!("{key:032x}"),
--- a/crates/peridotdeck-load/src/ops.rs
+++ b/crates/peridotdeck-load/src/ops.rs
@@ -217,7 +217,7 @@
     }
     let mut shed = 0;
     for router in stage.routers() {
-        let counts = router.handle().look(|node, _| node.owner().counts()).await;
+        let counts = router.handle().look(|node, _| node.pools().counts()).await;
         shed += counts.map_or(0, |counts| counts.shed_for_bulk);
     }
     let experiment = Arc::clone(&crowd.experiment);
--- a/crates/peridotdeck-router/src/attempt.rs
+++ b/crates/peridotdeck-router/src/attempt.rs
@@ -106,8 +106,8 @@
     End {
         outcome,
         tokens,
-        first: first.map(|first| first.duration_since(started)),
-        whole: started.elapsed(),
+        time_to_first_token: first.map(|first| first.duration_since(started)),
+        duration: started.elapsed(),
         answer: None,
     }
 }
--- a/crates/peridotdeck-router/src/carrier.rs
+++ b/crates/peridotdeck-router/src/carrier.rs
@@ -152,8 +152,8 @@
         let end = end.unwrap_or_else(|| End {
             outcome,
             tokens: self.answer.tokens() - before,
-            first: None,
-            whole: started.elapsed(),
+            time_to_first_token: None,
+            duration: started.elapsed(),
             answer: None,
         });
         self.conclude(attempt, end).await
@@ -186,7 +186,7 @@
         log::info!(
             "event=attempt_ended request={request:016x} attempt={attempt:016x} outcome={outcome} tokens={} ms={}",
             end.tokens,
-            end.whole.as_millis()
+            end.duration.as_millis()
         );
         self.handle.send(Event::Ended { attempt, end }).await;
         if outcome == Outcome::Finished {
--- a/crates/peridotdeck-router/src/driver.rs
+++ b/crates/peridotdeck-router/src/driver.rs
@@ -12,7 +12,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_std::{future::timeout, task};
-use peridotdeck_core::{Action, Event, Node, engine, id, node::TICK};
+use peridotdeck_core::{Action, Event, Node, engine, id, node::TICK_INTERVAL};
 use peridotdeck_http::client;
 use peridotdeck_policy::Endpoint;
 use peridotdeck_wire::{Body, Envelope, Member};
@@ -73,7 +73,7 @@
         loop {
             let now = self.clock.now();
             if now >= next_tick {
-                next_tick = now + TICK;
+                next_tick = now + TICK_INTERVAL;
                 self.event(now, Event::Tick);
             }
             if let Ok(Ok(input)) = timeout(next_tick.saturating_sub(now), self.inputs.recv()).await
@@ -93,7 +93,7 @@
                 }
             }
             Input::Arrive(call, reply) => {
-                let request = self.node.next_id();
+                let request = self.node.next_request_id();
                 let (orders, receiver) = async_channel::bounded(ORDERS);
                 // Ids grow, so the list stays sorted.
                 self.waiting.push((request, orders));
@@ -146,16 +146,16 @@
         self.handle
             .shared
             .revision
-            .store(self.node.book().revision(), Ordering::Relaxed);
+            .store(self.node.config().revision(), Ordering::Relaxed);
         self.handle
             .shared
             .roster
-            .store(self.node.view().roster(), Ordering::Relaxed);
+            .store(self.node.view().vm_list_revision(), Ordering::Relaxed);
     }
 
     /// Closes the order channels of requests that have ended, which ends their tasks.
     fn drop_ended(&mut self) {
-        let flights = self.node.desk().flights();
+        let flights = self.node.request_table().flights();
         self.waiting.retain(|(request, _)| {
             flights
                 .binary_search_by_key(request, |flight| flight.request)
@@ -201,7 +201,7 @@
             }
             Action::Stop { attempt } => self.stop(attempt),
             Action::Send { to, body } => self.post.send(to, body),
-            Action::Seek { body } => self.seek(&body),
+            Action::SendToSeeds { body } => self.seek(&body),
             Action::Watch(watch) => self.handle.shared.watching.store(watch, Ordering::Relaxed),
             Action::Poll { endpoint } => self.poll(endpoint),
             Action::Adopted { revision } => {
@@ -231,7 +231,7 @@
     }
 
     fn stop(&self, attempt: id::Attempt) {
-        let flights = self.node.desk().flights();
+        let flights = self.node.request_table().flights();
         if let Some(flight) = flights
             .iter()
             .find(|flight| flight.attempt() == Some(attempt))
--- a/crates/peridotdeck-router/src/metrics.rs
+++ b/crates/peridotdeck-router/src/metrics.rs
@@ -223,17 +223,21 @@
     }
 
     fn observe(&self, node: &Node) {
-        let (desk, counts, drops) = (node.desk().counts(), node.owner().counts(), node.drops());
+        let (desk, counts, drops) = (
+            node.request_table().counts(),
+            node.pools().counts(),
+            node.drops(),
+        );
         let values = [
-            ("revision", node.book().revision()),
-            ("rejected_revision", node.book().rejected()),
-            ("roster", node.view().roster()),
+            ("revision", node.config().revision()),
+            ("rejected_revision", node.config().rejected_revision()),
+            ("roster", node.view().vm_list_revision()),
             ("live_nodes", node.view().live_count() as u64),
-            ("open_requests", node.desk().flights().len() as u64),
+            ("open_requests", node.request_table().flights().len() as u64),
             ("arrived", desk.arrived),
             ("retries", desk.retries),
             ("direct", desk.direct),
-            ("owned_pools", node.owner().pools().len() as u64),
+            ("owned_pools", node.pools().schedulers().len() as u64),
             ("granted", counts.granted),
             ("preempted", counts.preempted),
             ("shed_for_bulk", counts.shed_for_bulk),
--- a/crates/peridotdeck-router/src/operators.rs
+++ b/crates/peridotdeck-router/src/operators.rs
@@ -224,24 +224,24 @@
         .iter()
         .map(|member| member.place.clone())
         .collect();
-    places.push(view.place().to_owned());
+    places.push(view.data_centre().to_owned());
     places.sort_unstable();
     places.dedup();
     Status {
-        node: view.me(),
-        place: view.place().to_owned(),
+        node: view.local_node(),
+        place: view.data_centre().to_owned(),
         ready: node.is_ready(),
         leaving: view.is_leaving(),
-        revision: node.book().revision(),
-        rejected: node.book().rejected(),
-        roster: view.roster(),
+        revision: node.config().revision(),
+        rejected: node.config().rejected_revision(),
+        roster: view.vm_list_revision(),
         live: places
             .into_iter()
-            .map(|place| (place.clone(), view.live(&place).to_vec()))
+            .map(|place| (place.clone(), view.live_nodes(&place).to_vec()))
             .collect(),
-        open: node.desk().flights().len(),
+        open: node.request_table().flights().len(),
         witness: node.ledger().is_ready(),
-        pools: node.owner().pools().iter().map(pool).collect(),
+        pools: node.pools().schedulers().iter().map(pool).collect(),
     }
 }
 
@@ -281,11 +281,11 @@
         organisation: organisation.name.clone(),
         service: service.name.clone(),
         class: class.name.clone(),
-        prompt: 0,
+        prompt_tokens: 0,
         max_tokens: 0,
         prefix: 0,
         fingerprint: 0,
-        repeatable: true,
+        idempotent: true,
         resumable: true,
         claim: None,
     };
@@ -293,10 +293,10 @@
     Ok(Explanation {
         class: class.name.clone(),
         tier: class.tier,
-        open: node.desk().open(&organisation.name),
+        open: node.request_table().open(&organisation.name),
         concurrency: share.concurrency,
         pools: node
-            .explain(&call, now)
+            .candidates(&call, now)
             .into_iter()
             .map(|each| choice(snapshot, &each))
             .collect(),
--- a/crates/peridotdeck-router/src/router.rs
+++ b/crates/peridotdeck-router/src/router.rs
@@ -117,7 +117,7 @@
         );
         let node = Node::new(Setup {
             node: settings.node,
-            place: settings.place.clone(),
+            data_centre: settings.place.clone(),
             incarnation: options.incarnation,
             seed: options.seed,
             strategy: options.strategy,
--- a/crates/peridotdeck-router/tests/testsuite/fleet.rs
+++ b/crates/peridotdeck-router/tests/testsuite/fleet.rs
@@ -17,7 +17,11 @@
         let revision = site.platform.publish(&split(&site.config));
         let everywhere = async {
             for router in &site.routers {
-                while router.handle().look(|node, _| node.book().revision()).await != Some(revision)
+                while router
+                    .handle()
+                    .look(|node, _| node.config().revision())
+                    .await
+                    != Some(revision)
                 {
                     task::sleep(Duration::from_millis(10)).await;
                 }
@@ -35,7 +39,7 @@
         let mut site = Site::start(&[fast()], 2).await;
         let before = site.routers[0]
             .handle()
-            .look(|node, _| node.book().revision())
+            .look(|node, _| node.config().revision())
             .await
             .unwrap();
         site.config.classes.clear();
@@ -43,7 +47,7 @@
         let refused = async {
             while site.routers[0]
                 .handle()
-                .look(|node, _| node.book().rejected())
+                .look(|node, _| node.config().rejected_revision())
                 .await
                 != Some(broken)
             {
@@ -55,7 +59,7 @@
             .expect("the mistake is noticed");
         let now = site.routers[0]
             .handle()
-            .look(|node, _| node.book().revision())
+            .look(|node, _| node.config().revision())
             .await;
         assert_eq!(now, Some(before), "the old configuration stays in force");
         assert!(
