--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -142,7 +142,7 @@
 
     /// Returns the reservations that this node witnesses.
     #[must_use]
-    pub fn ledger(&self) -> &Ledger {
+    pub fn witness(&self) -> &Ledger {
         &self.ledger
     }
 
@@ -440,7 +440,7 @@
             Body::Deny(deny) => self.with_scene(now, |desk, scene| desk.deny(&deny, scene, out)),
             Body::Preempt(preempt) => self.desk.preempt(preempt.attempt, out),
             Body::Strike(strike) => self.desk.strike(&strike, now),
-            Body::Claim(claim) => self.witness(from, &claim, now, out),
+            Body::Claim(claim) => self.handle_claim(from, &claim, now, out),
             Body::Vote(Vote {
                 attempt, answer, ..
             }) => {
@@ -462,7 +462,7 @@
         }
     }
 
-    fn witness(&mut self, from: id::Node, claim: &Claim, now: id::Time, out: &mut Outbox) {
+    fn handle_claim(&mut self, from: id::Node, claim: &Claim, now: id::Time, out: &mut Outbox) {
         let answer = self.ledger.vote(claim, now);
         if answer == Answer::Stale && claim.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
--- a/crates/peridotdeck-core/tests/testsuite/claims.rs
+++ b/crates/peridotdeck-core/tests/testsuite/claims.rs
@@ -137,7 +137,7 @@
     world.kill(0);
     world.start(0);
     world.run(5_000);
-    assert!(!world.node(0).ledger().is_ready());
+    assert!(!world.node(0).witness().is_ready());
 }
 
 #[test]
@@ -145,9 +145,9 @@
     let mut world = World::settled(&[("a", 1)], 10);
     world.send(0, reorder(7)).unwrap();
     world.run(1_000);
-    assert_eq!(world.node(0).ledger().len(), 1);
+    assert_eq!(world.node(0).witness().len(), 1);
     world.run(HORIZON.as_millis() as u64 + 1_000);
-    assert_eq!(world.node(0).ledger().len(), 0);
+    assert_eq!(world.node(0).witness().len(), 0);
 }
 
 #[test]
--- a/crates/peridotdeck-core/tests/testsuite/world.rs
+++ b/crates/peridotdeck-core/tests/testsuite/world.rs
@@ -585,7 +585,7 @@
         let remembers = |seat: &Seat| {
             seat.node
                 .as_ref()
-                .is_some_and(|node| node.ledger().is_ready())
+                .is_some_and(|node| node.witness().is_ready())
         };
         if self.now > Duration::from_secs(8) && !self.seats.iter().any(remembers) {
             self.key_runs.clear();
--- a/crates/peridotdeck-load/src/stage.rs
+++ b/crates/peridotdeck-load/src/stage.rs
@@ -155,7 +155,7 @@
         let nodes = self.slots.len();
         for router in self.slots.iter().filter_map(|slot| slot.router.as_ref()) {
             let look = move |node: &peridotdeck_core::Node, _| {
-                node.is_ready() && node.ledger().is_ready() && node.view().live_count() == nodes
+                node.is_ready() && node.witness().is_ready() && node.view().live_count() == nodes
             };
             if router.handle().look(look).await != Some(true) {
                 return false;
--- a/crates/peridotdeck-router/src/metrics.rs
+++ b/crates/peridotdeck-router/src/metrics.rs
@@ -241,7 +241,7 @@
             ("granted", counts.granted),
             ("preempted", counts.preempted),
             ("shed_for_bulk", counts.shed_for_bulk),
-            ("reservations", node.ledger().len() as u64),
+            ("reservations", node.witness().len() as u64),
             ("dropped_unknown", drops.unknown),
             ("dropped_foreign", drops.foreign),
             ("dropped_stale", drops.stale),
--- a/crates/peridotdeck-router/src/operators.rs
+++ b/crates/peridotdeck-router/src/operators.rs
@@ -240,7 +240,7 @@
             .map(|place| (place.clone(), view.live_nodes(&place).to_vec()))
             .collect(),
         open: node.request_table().flights().len(),
-        witness: node.ledger().is_ready(),
+        witness: node.witness().is_ready(),
         pools: node.pools().schedulers().iter().map(pool).collect(),
     }
 }
--- a/crates/peridotdeck-router/tests/testsuite/site.rs
+++ b/crates/peridotdeck-router/tests/testsuite/site.rs
@@ -143,7 +143,9 @@
         for router in &self.routers {
             loop {
                 let ready = router.handle().look(move |node, _| {
-                    node.is_ready() && node.view().live_count() == count && node.ledger().is_ready()
+                    node.is_ready()
+                        && node.view().live_count() == count
+                        && node.witness().is_ready()
                 });
                 if ready.await == Some(true) {
                     break;
