--- a/crates/peridotdeck-core/src/action.rs
+++ b/crates/peridotdeck-core/src/action.rs
@@ -1,29 +1,29 @@
-//! What a node asks of its shell.
+//! Actions that a node returns for its shell to carry out.
 
 use peridotdeck_wire::{Body, Member};
 
 use crate::{id, request};
 
-/// Something that the shell must do.
+/// One step that the shell must carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send the request to the endpoint now.
     Dispatch {
         /// The request.
         request: id::Request,
-        /// Id that the endpoint must echo.
+        /// Id of the attempt, which the endpoint must echo.
         attempt: id::Attempt,
-        /// Where to send it.
+        /// The endpoint that receives the request.
         endpoint: id::Endpoint,
     },
-    /// Tell the caller that there will be no answer.
+    /// Refuse the request: answer the caller with a verdict and its cause.
     Refuse {
         /// The request.
         request: id::Request,
-        /// Verdict and cause.
+        /// Verdict, cause and time to wait before a retry.
         refusal: request::Refusal,
     },
-    /// Give the caller the answer of the earlier call with the same idempotency key.
+    /// Send the caller the stored answer of an earlier request with the same idempotency key.
     Replay {
         /// The request.
         request: id::Request,
@@ -44,28 +44,28 @@
         /// The message.
         body: Body,
     },
-    /// Send a message to the peers that the settings name as seeds.
+    /// Send a message to the seed nodes named in the settings.
     SendToSeeds {
         /// The message.
         body: Body,
     },
     /// Start or stop watching the configuration service and the VM list.
     Watch(bool),
-    /// Read the load report of an endpoint.
+    /// Fetch the load report of an endpoint.
     Poll {
         /// The endpoint.
         endpoint: id::Endpoint,
     },
-    /// A configuration came into force.
+    /// Record that a new configuration is in force.
     Adopted {
         /// Its revision.
         revision: id::Revision,
     },
-    /// A configuration was refused whole.
+    /// Report that a configuration was rejected as a whole.
     Rejected {
         /// Its revision.
         revision: id::Revision,
-        /// Every mistake, by name.
+        /// All errors found by the check.
         errors: Vec<String>,
     },
 }
--- a/crates/peridotdeck-core/src/config.rs
+++ b/crates/peridotdeck-core/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration in force and how newer ones come into force.
+//! The configuration in force, and how a newer revision replaces it.
 //!
-//! Revisions only grow. A newer set of parts is joined and checked as a whole; with a mistake in it
-//! the old configuration stays in force and the mistake is reported. Parts travel as deltas, from
-//! the configuration service to a few watchers and from node to node.
+//! Revisions only grow. A newer set of parts is joined and checked as a whole. If the check finds
+//! errors, the old configuration stays in force and the errors are reported. Parts are sent as
+//! deltas: from the configuration service to a few watching nodes, then from node to node.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::id;
 
-/// Parts by key and the checked configuration that they form.
+/// The configuration's parts, sorted by key, and the checked snapshot that they form.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     parts: Vec<Part>,
@@ -20,27 +20,27 @@
     rejected: id::Revision,
 }
 
-/// What came of a delta.
+/// Result of applying a delta.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// It is not newer, or has been rejected before.
+    /// The delta is not newer than the revision in force, or it was rejected before.
     Old,
-    /// It begins after the revision in force, so parts are missing.
+    /// The delta starts after the revision in force, so parts are missing.
     Gap,
-    /// It is in force.
+    /// The new configuration is in force.
     Adopted(Arc<Snapshot>),
-    /// It has mistakes; the old configuration stays in force.
+    /// The new configuration has these errors; the old one stays in force.
     Rejected(Vec<String>),
 }
 
 impl Store {
-    /// Returns the revision in force; 0 before the first.
+    /// Returns the revision in force, or 0 before the first one.
     #[must_use]
     pub fn revision(&self) -> id::Revision {
         self.revision
     }
 
-    /// Returns the highest revision that was refused.
+    /// Returns the newest revision that was rejected, or 0 if none was.
     #[must_use]
     pub fn rejected_revision(&self) -> id::Revision {
         self.rejected
@@ -62,10 +62,10 @@
             .collect()
     }
 
-    /// Applies the parts that changed after `from` up to `to`.
+    /// Applies the parts that changed after revision `from`, up to revision `to`.
     ///
     /// # Panics
-    /// If a configuration would revert, which is a fault of this program.
+    /// Panics if the revision would go back, which is a bug in this program.
     pub fn apply(&mut self, from: id::Revision, to: id::Revision, parts: &[Part]) -> Change {
         if to <= self.revision || to <= self.rejected {
             return Change::Old;
@@ -74,7 +74,7 @@
             return Change::Gap;
         }
         let merged = self.merge(parts);
-        match check(&merged) {
+        match build_snapshot(&merged) {
             Ok(snapshot) => {
                 assert!(to > self.revision, "a configuration never reverts");
                 let snapshot = Arc::new(snapshot);
@@ -93,17 +93,18 @@
     fn merge(&self, parts: &[Part]) -> Vec<Part> {
         let mut merged = self.parts.clone();
         for part in parts {
-            match merged.binary_search_by(|each| each.key.cmp(&part.key)) {
-                Ok(at) if merged[at].revision < part.revision => merged[at] = part.clone(),
+            match merged.binary_search_by(|present| present.key.cmp(&part.key)) {
+                Ok(index) if merged[index].revision < part.revision => merged[index] = part.clone(),
                 Ok(_) => {}
-                Err(at) => merged.insert(at, part.clone()),
+                Err(index) => merged.insert(index, part.clone()),
             }
         }
         merged
     }
 }
 
-fn check(parts: &[Part]) -> Result<Snapshot, Vec<String>> {
+/// Joins the parts and checks the result; an empty value marks a removed part.
+fn build_snapshot(parts: &[Part]) -> Result<Snapshot, Vec<String>> {
     let present = parts.iter().filter(|part| !part.value.is_empty());
     let pairs = present.map(|part| (part.key.as_str(), part.value.as_str()));
     let config = join(pairs).map_err(|error| vec![error.to_string()])?;
--- a/crates/peridotdeck-core/src/event.rs
+++ b/crates/peridotdeck-core/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node.
+//! Events that a node handles.
 
 use std::time::Duration;
 
@@ -6,62 +6,62 @@
 
 use crate::{engine, id, request};
 
-/// Something that the shell tells the node.
+/// An input from the shell to the node.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes; sent every [`crate::node::TICK_INTERVAL`].
+    /// The timer fired; sent every [`crate::node::TICK_INTERVAL`].
     Tick,
-    /// A caller sends a request.
+    /// A caller sent a request.
     Arrive {
         /// Id that the shell chose with [`crate::Node::next_request_id`].
         request: id::Request,
-        /// What the caller wants.
+        /// Service, class, size and limits of the request.
         call: request::Call,
     },
     /// An attempt has ended at its endpoint.
     Ended {
         /// The attempt.
         attempt: id::Attempt,
-        /// How it ended.
+        /// Outcome and measurements of the attempt.
         end: End,
     },
-    /// The caller has gone away.
+    /// The caller disconnected.
     Abandoned {
-        /// The request that nobody waits for.
+        /// The request of the disconnected caller.
         request: id::Request,
     },
-    /// A peer's message came.
+    /// A message arrived from a peer.
     Message(Envelope),
-    /// The configuration service answered a watch.
+    /// The configuration service answered a watch with newer parts or a newer VM list.
     Published(Delta),
     /// An endpoint reported its load.
     Reported {
         /// The endpoint.
         endpoint: id::Endpoint,
-        /// What it said.
+        /// The load report.
         report: engine::Report,
     },
-    /// An operator or a signal asks the node to leave.
+    /// An operator or a signal told the node to drain and shut down.
     Drain,
 }
 
-/// How an attempt ended.
+/// Outcome and measurements of an ended attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
     /// Output tokens that this attempt delivered.
     pub tokens: u32,
-    /// Time to the first token at the endpoint.
+    /// Time from the start of the attempt to the first token, if one arrived.
     pub time_to_first_token: Option<Duration>,
-    /// Time of the whole attempt at the endpoint.
+    /// Time from the start to the end of the attempt.
     pub duration: Duration,
-    /// Status and body of a short plain answer, to be kept for a caller that sends again.
+    /// HTTP status and body of a short plain answer, stored for a caller that repeats the request.
     pub answer: Option<(u16, String)>,
 }
 
 impl End {
-    /// Returns the mean gap between tokens, if at least two came.
+    /// Returns the mean inter-token latency, if at least two tokens arrived.
     #[must_use]
     pub fn inter_token_latency(&self) -> Option<Duration> {
         let first = self.time_to_first_token.filter(|_| self.tokens > 1)?;
--- a/crates/peridotdeck-core/src/id.rs
+++ b/crates/peridotdeck-core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers, and the time that decisions are given.
+//! Identifiers, and the clock time passed to decisions.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 pub type Node = u32;
 /// Number of an endpoint in the configuration.
 pub type Endpoint = u32;
-/// Digest of service, data centre and shard.
+/// Digest of a pool's service, data centre and shard.
 pub type Pool = u64;
-/// A caller's request, unique over nodes and restarts.
+/// Id of a caller's request, unique across nodes and restarts.
 pub type Request = u64;
-/// One try to run a request, unique over nodes and restarts.
+/// Id of one attempt to run a request, unique across nodes and restarts.
 pub type Attempt = u64;
-/// Digest of a whole request.
+/// Digest of a whole request, equal for repetitions of it.
 pub type Fingerprint = u64;
-/// Start time of a process in seconds; a later process of the same node has a higher one.
+/// Start time of a process in seconds; a later process of the same node has a higher value.
 pub type Incarnation = u64;
 /// Revision of the configuration or index of the VM list.
 pub type Revision = u64;
 /// Time since the process started, from a monotonic clock.
 pub type Time = Duration;
 
-/// Bits of an id that name the node.
+/// Bits of an id that hold the node.
 const NODE_BITS: u32 = 20;
 
-/// Bits of an id that name the start of the process: its second within four and a half hours.
-const START_BITS: u32 = 14;
+/// Bits of an id that hold the incarnation: its start second modulo 2^14 (4.5 hours).
+const INCARNATION_BITS: u32 = 14;
 
-/// Bits of an id that count.
-const COUNT_BITS: u32 = 64 - NODE_BITS - START_BITS;
+/// Bits of an id that hold the counter.
+const COUNT_BITS: u32 = 64 - NODE_BITS - INCARNATION_BITS;
 
-/// Numbers requests or attempts so that no two nodes and no two processes ever share a number.
+/// Generates ids of requests or attempts that no other node or process generates.
 ///
-/// The parts are packed, not hashed: a collision would let two attempts share one slot, or two
-/// calls share one reservation.
+/// Node, incarnation and counter are packed, not hashed: a collision would let two attempts share
+/// one slot, or two requests share one reservation.
 #[derive(Clone, Debug)]
 pub struct Generator {
     base: u64,
@@ -41,18 +41,18 @@
 }
 
 impl Generator {
-    /// Starts the numbers of a process.
+    /// Creates the generator of one process.
     #[must_use]
     pub fn new(node: Node, incarnation: Incarnation) -> Self {
         let node = u64::from(node) & ((1 << NODE_BITS) - 1);
-        let start = incarnation & ((1 << START_BITS) - 1);
+        let start = incarnation & ((1 << INCARNATION_BITS) - 1);
         Self {
-            base: (node << START_BITS | start) << COUNT_BITS,
+            base: (node << INCARNATION_BITS | start) << COUNT_BITS,
             count: 0,
         }
     }
 
-    /// Returns a new number.
+    /// Returns a new id.
     pub fn issue(&mut self) -> u64 {
         self.count = (self.count + 1) & ((1 << COUNT_BITS) - 1);
         self.base | self.count
--- a/crates/peridotdeck-core/src/membership.rs
+++ b/crates/peridotdeck-core/src/membership.rs
@@ -1,9 +1,10 @@
-//! Who the peers are, which of them are alive, and which of them owns what.
+//! Fleet membership: the peers of a node, which of them are alive, and which pools they own.
 //!
-//! The platform's VM list (the roster) says who may be a peer; it lags, so peers' heartbeats say
-//! who is alive. Heartbeats spread by gossip within a data centre and in samples between data
-//! centres. A silent data centre is treated as cut off: its nodes are not replaced by others, and
-//! only its own nodes own its pools. `docs/design/MEMBERSHIP.md` gives the sums.
+//! The platform's VM list (the roster) defines which VMs may be peers. The list lags behind, so
+//! heartbeats decide which peers are alive. Heartbeats spread by gossip within a data centre and in
+//! samples between data centres. A silent data centre is treated as cut off by the network: nodes
+//! elsewhere do not replace its nodes, and only its own nodes own its pools.
+//! `docs/design/MEMBERSHIP.md` gives the calculations.
 
 use std::time::Duration;
 
@@ -16,84 +17,84 @@
 /// Time between two rounds of gossip.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence after which a node of the own data centre counts as dead.
+/// Time without a message after which a node of the same data centre counts as dead.
 pub const LOCAL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Silence after which a node of another data centre counts as out of reach.
+/// Time without a message after which a node of another data centre counts as unreachable.
 pub const REMOTE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Time that a starting node gives its peers to be heard.
+/// Time for which a starting node waits for messages from its peers before it may own pools.
 const STARTUP_WAIT: Duration = Duration::from_secs(2);
 
-/// Silence after which a live peer of the own data centre is probed.
+/// Time without a message after which a live peer of the same data centre is probed.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
 
-/// Peers of the own data centre that a node tells in each round.
+/// Peers of the same data centre that a node sends its digest to in each round of gossip.
 const GOSSIP_FANOUT: usize = 1;
 
-/// Heartbeats of the own data centre in one message, newest first.
+/// Most heartbeats of peers in the sender's data centre in one message; the newest are sent.
 const MAX_LOCAL_HEARTBEATS: usize = 48;
 
-/// Heartbeats of other data centres in one message, newest first.
+/// Most heartbeats of peers in other data centres in one message; the newest are sent.
 const MAX_REMOTE_HEARTBEATS: usize = 8;
 
-/// Pool summaries in one message, newest first.
+/// Most pool summaries in one message; the newest are sent.
 const MAX_SUMMARIES: usize = 12;
 
-/// Nodes of a data centre that watch the configuration service.
+/// Nodes of each data centre that watch the configuration service.
 const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Digest seed of the watchers' order.
+/// Seed of the rendezvous hash that chooses the watching nodes of a data centre.
 const WATCHER_ORDER_SEED: u64 = 0x77;
 
 #[derive(Clone, Debug)]
 struct Peer {
     beat: Beat,
-    received: id::Time,
+    last_received: id::Time,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct PoolState {
     summary: Summary,
     received: id::Time,
 }
 
-/// What a node knows about its peers.
+/// A node's view of the fleet: VM list, heartbeats and pool summaries.
 #[derive(Clone, Debug)]
 pub struct View {
     local_node: id::Node,
     data_centre: String,
     incarnation: id::Incarnation,
-    counter: u32,
+    heartbeat_count: u32,
     leaving: bool,
     vm_list_revision: id::Revision,
     members: Vec<Member>,
     peers: Vec<Peer>,
-    summaries: Vec<Seen>,
+    summaries: Vec<PoolState>,
     live: Vec<(String, Vec<id::Node>)>,
-    listed: Option<id::Time>,
+    vm_list_since: Option<id::Time>,
 }
 
 impl View {
-    /// Starts with no peers.
+    /// Creates the view of a node that has no VM list and no peers yet.
     #[must_use]
     pub fn new(local_node: id::Node, data_centre: String, incarnation: id::Incarnation) -> Self {
         Self {
             local_node,
             data_centre,
             incarnation,
-            counter: 0,
+            heartbeat_count: 0,
             leaving: false,
             vm_list_revision: 0,
             members: Vec::new(),
             peers: Vec::new(),
             summaries: Vec::new(),
             live: Vec::new(),
-            listed: None,
+            vm_list_since: None,
         }
     }
 
-    /// Returns this node.
+    /// Returns the number of this node.
     #[must_use]
     pub fn local_node(&self) -> id::Node {
         self.local_node
@@ -105,13 +106,13 @@
         &self.data_centre
     }
 
-    /// Returns the start of this process.
+    /// Returns the incarnation of this process.
     #[must_use]
     pub fn incarnation(&self) -> id::Incarnation {
         self.incarnation
     }
 
-    /// Returns the index of the VM list in use.
+    /// Returns the index of the VM list in use, or 0 without one.
     #[must_use]
     pub fn vm_list_revision(&self) -> id::Revision {
         self.vm_list_revision
@@ -123,13 +124,13 @@
         &self.members
     }
 
-    /// Returns this node's heartbeats so far.
+    /// Returns the number of heartbeats that this process has counted.
     #[must_use]
     pub fn heartbeat_count(&self) -> u32 {
-        self.counter
+        self.heartbeat_count
     }
 
-    /// Announces that this node is shutting down.
+    /// Marks this node as shutting down, which its next heartbeat announces.
     pub fn start_leaving(&mut self) {
         self.leaving = true;
     }
@@ -140,16 +141,16 @@
         self.leaving
     }
 
-    /// Finds a peer in the VM list.
+    /// Returns a node's entry in the VM list.
     #[must_use]
     pub fn member(&self, node: id::Node) -> Option<&Member> {
-        let at = self
+        let index = self
             .members
             .binary_search_by_key(&node, |member| member.node);
-        at.ok().map(|at| &self.members[at])
+        index.ok().map(|index| &self.members[index])
     }
 
-    /// Follows a newer VM list and returns whether it was newer.
+    /// Replaces the VM list by a newer one, and returns whether it was newer.
     pub fn adopt_vm_list(&mut self, revision: id::Revision, mut members: Vec<Member>) -> bool {
         if revision <= self.vm_list_revision {
             return false;
@@ -167,7 +168,9 @@
         true
     }
 
-    /// Learns from heartbeats; a node speaks for itself, so its own beats are ignored.
+    /// Stores newer heartbeats of listed peers.
+    ///
+    /// Copies of this node's own heartbeat are ignored: only the node itself issues them.
     pub fn receive_heartbeats(&mut self, beats: &[Beat], now: id::Time) {
         for beat in beats {
             if beat.node != self.local_node && self.member(beat.node).is_some() {
@@ -181,73 +184,75 @@
             .peers
             .binary_search_by_key(&beat.node, |peer| peer.beat.node)
         {
-            Ok(at) => {
-                let peer = &mut self.peers[at];
+            Ok(index) => {
+                let peer = &mut self.peers[index];
                 if (beat.incarnation, beat.counter) > (peer.beat.incarnation, peer.beat.counter) {
                     *peer = Peer {
                         beat: beat.clone(),
-                        received: now,
+                        last_received: now,
                     };
                 }
             }
-            Err(at) => self.peers.insert(
-                at,
+            Err(index) => self.peers.insert(
+                index,
                 Peer {
                     beat: beat.clone(),
-                    received: now,
+                    last_received: now,
                 },
             ),
         }
     }
 
-    /// Returns the newest incarnation heard of a node.
+    /// Returns the newest known incarnation of a peer.
     #[must_use]
     pub fn incarnation_of(&self, node: id::Node) -> Option<id::Incarnation> {
-        let at = self
+        let index = self
             .peers
             .binary_search_by_key(&node, |peer| peer.beat.node);
-        at.ok().map(|at| self.peers[at].beat.incarnation)
+        index.ok().map(|index| self.peers[index].beat.incarnation)
     }
 
-    /// Counts any message of a peer as a sign of life.
+    /// Records that a message of a peer arrived; any message shows that the peer is alive.
     pub fn record_message(&mut self, node: id::Node, now: id::Time) {
-        if let Ok(at) = self
+        if let Ok(index) = self
             .peers
             .binary_search_by_key(&node, |peer| peer.beat.node)
         {
-            self.peers[at].received = now;
+            self.peers[index].last_received = now;
         }
     }
 
-    /// Returns when a node was heard last.
+    /// Returns when the last message or newer heartbeat of a peer arrived.
     #[must_use]
     pub fn last_received(&self, node: id::Node) -> Option<id::Time> {
-        let at = self
+        let index = self
             .peers
             .binary_search_by_key(&node, |peer| peer.beat.node);
-        at.ok().map(|at| self.peers[at].received)
+        index.ok().map(|index| self.peers[index].last_received)
     }
 
-    /// Learns the state of pools.
+    /// Stores newer summaries of pools.
+    ///
+    /// A summary older than [`REMOTE_TIMEOUT`] is replaced whatever the stamps are.
     pub fn receive_summaries(&mut self, summaries: &[Summary], now: id::Time) {
         for summary in summaries {
             match self
                 .summaries
-                .binary_search_by_key(&summary.pool, |seen| seen.summary.pool)
+                .binary_search_by_key(&summary.pool, |state| state.summary.pool)
             {
-                Ok(at) => {
-                    let seen = &mut self.summaries[at];
-                    let stale = now.saturating_sub(seen.received) > REMOTE_TIMEOUT;
-                    if stale || summary.stamp > seen.summary.stamp {
-                        *seen = Seen {
+                Ok(index) => {
+                    let state = &mut self.summaries[index];
+                    let is_stale = now.saturating_sub(state.received) > REMOTE_TIMEOUT;
+                    if is_stale || summary.stamp > state.summary.stamp {
+                        *state = PoolState {
                             summary: summary.clone(),
                             received: now,
                         };
                     }
                 }
-                Err(at) => self.summaries.insert(
-                    at,
-                    Seen {
+                Err(index) => self.summaries.insert(
+                    index,
+                    PoolState {
                         summary: summary.clone(),
                         received: now,
                     },
@@ -256,15 +261,15 @@
         }
     }
 
-    /// Returns the state of a pool, unless it is too old to mean anything.
+    /// Returns the last summary of a pool, unless it is older than [`REMOTE_TIMEOUT`].
     #[must_use]
     pub fn summary(&self, pool: id::Pool, now: id::Time) -> Option<&Summary> {
-        let at = self
+        let index = self
             .summaries
-            .binary_search_by_key(&pool, |seen| seen.summary.pool)
+            .binary_search_by_key(&pool, |state| state.summary.pool)
             .ok()?;
-        let seen = &self.summaries[at];
-        (now.saturating_sub(seen.received) <= REMOTE_TIMEOUT).then_some(&seen.summary)
+        let state = &self.summaries[index];
+        (now.saturating_sub(state.received) <= REMOTE_TIMEOUT).then_some(&state.summary)
     }
 
     /// Returns whether a node is alive and not shutting down.
@@ -276,28 +281,28 @@
         let Some(member) = self.member(node) else {
             return false;
         };
-        let silence = if member.place == self.data_centre {
+        let timeout = if member.place == self.data_centre {
             LOCAL_TIMEOUT
         } else {
             REMOTE_TIMEOUT
         };
         self.peers
             .binary_search_by_key(&node, |peer| peer.beat.node)
-            .is_ok_and(|at| {
-                let peer = &self.peers[at];
-                !peer.beat.leaving && now.saturating_sub(peer.received) < silence
+            .is_ok_and(|index| {
+                let peer = &self.peers[index];
+                !peer.beat.leaving && now.saturating_sub(peer.last_received) < timeout
             })
     }
 
-    /// Works out anew who is alive; called at every tick, so that requests only look it up.
+    /// Recomputes the live nodes; called on every tick, so that requests only look them up.
     pub fn refresh(&mut self, now: id::Time) {
         if self.vm_list_revision > 0 {
-            self.listed.get_or_insert(now);
+            self.vm_list_since.get_or_insert(now);
         }
         let mut live: Vec<(String, Vec<id::Node>)> = Vec::new();
         for member in &self.members {
-            let other = member.node != self.local_node && !member.leaving;
-            if other && self.is_live(member.node, now) {
+            let is_usable = member.node != self.local_node && !member.leaving;
+            if is_usable && self.is_live(member.node, now) {
                 add_live(&mut live, &member.place, member.node);
             }
         }
@@ -307,36 +312,42 @@
         self.live = live;
     }
 
-    /// Takes all peers for alive after a pause of this process, in which nobody could be heard.
+    /// Treats all known peers as alive again after a pause of this process.
+    ///
+    /// The process received nothing during the pause, so its peers' silence means nothing.
     pub fn assume_all_alive(&mut self, now: id::Time) {
         for peer in &mut self.peers {
-            peer.received = now;
+            peer.last_received = now;
         }
         self.refresh(now);
     }
 
-    /// Returns the live nodes of a data centre; this node counts as live in its own.
+    /// Returns the live nodes of a data centre, including this node unless it is leaving.
     #[must_use]
-    pub fn live_nodes(&self, place: &str) -> &[id::Node] {
-        let at = self
+    pub fn live_nodes(&self, data_centre: &str) -> &[id::Node] {
+        let index = self
             .live
-            .binary_search_by(|(each, _)| each.as_str().cmp(place));
-        at.map_or(&[], |at| self.live[at].1.as_slice())
+            .binary_search_by(|(name, _)| name.as_str().cmp(data_centre));
+        index.map_or(&[], |index| self.live[index].1.as_slice())
     }
 
-    /// Returns whether this node knows its data centre well enough to own anything there.
+    /// Returns whether this node knows its data centre well enough to own pools there.
     ///
-    /// A node that has just started has heard nobody and would take itself for the only one.
+    /// A node that has just started has received no heartbeats and would regard itself as the only
+    /// live node. It waits for every listed peer of its data centre, but no longer than
+    /// `STARTUP_WAIT`.
     #[must_use]
     pub fn may_own_pools(&self, now: id::Time) -> bool {
         let waited = self
-            .listed
-            .is_some_and(|listed| now.saturating_sub(listed) >= STARTUP_WAIT);
+            .vm_list_since
+            .is_some_and(|vm_list_since| now.saturating_sub(vm_list_since) >= STARTUP_WAIT);
         let mut others = self.others_in(&self.data_centre);
-        waited || (self.listed.is_some() && others.all(|node| self.last_received(node).is_some()))
+        waited
+            || (self.vm_list_since.is_some()
+                && others.all(|node| self.last_received(node).is_some()))
     }
 
-    /// Returns the number of live nodes in the fleet, at least this one.
+    /// Returns the number of live nodes in the fleet, at least 1.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.live
@@ -363,43 +374,47 @@
             .any(|&node| node == self.local_node)
     }
 
-    /// Counts one heartbeat and chooses whom to tell and whom to probe.
+    /// Counts one heartbeat and returns the peers to gossip with and the peer to probe.
     ///
-    /// Random peers spread the news, the dead ones included, so that a healed connection is
-    /// noticed. Gossip alone leaves a long tail of late news; so the live peer that has been silent
-    /// longest is probed, and answers for itself. On average one node of a data centre tells one
-    /// node of each other data centre in a round.
+    /// Gossip goes to random peers. Dead ones are included, so that a repaired connection is
+    /// noticed. Gossip alone leaves a long tail of late heartbeats, so the live peer that has been
+    /// silent longest is probed and answers with its own. On average one node of a data centre
+    /// sends to one node of each other data centre in a round.
     pub fn start_gossip_round(
         &mut self,
         now: id::Time,
         rng: &mut SmallRng,
     ) -> (Vec<id::Node>, Option<id::Node>) {
-        self.counter += 1;
+        self.heartbeat_count += 1;
         let local: Vec<id::Node> = self.others_in(&self.data_centre).collect();
-        let mut told: Vec<id::Node> = local.choose_multiple(rng, GOSSIP_FANOUT).copied().collect();
-        let crowd = self.live_nodes(&self.data_centre).len().max(1);
-        for place in self.other_data_centres() {
-            if rng.random_ratio(1, crowd as u32) {
-                let remote: Vec<id::Node> = self.others_in(&place).collect();
-                told.extend(remote.choose(rng));
+        let mut targets: Vec<id::Node> =
+            local.choose_multiple(rng, GOSSIP_FANOUT).copied().collect();
+        let live_local = self.live_nodes(&self.data_centre).len().max(1);
+        for data_centre in self.other_data_centres() {
+            if rng.random_ratio(1, live_local as u32) {
+                let remote: Vec<id::Node> = self.others_in(&data_centre).collect();
+                targets.extend(remote.choose(rng));
             }
         }
-        let probed = self.longest_silent(now).filter(|node| !told.contains(node));
-        (told, probed)
+        let probed = self
+            .longest_silent(now)
+            .filter(|node| !targets.contains(node));
+        (targets, probed)
     }
 
-    /// Returns the live peer of the own data centre that has been silent longest, if it is late.
+    /// Returns the live peer of this data centre that has been silent longest, if it is overdue.
     fn longest_silent(&self, now: id::Time) -> Option<id::Node> {
-        let is_late = |peer: &&Peer| now.saturating_sub(peer.received) > PROBE_AFTER;
+        let is_overdue = |peer: &&Peer| now.saturating_sub(peer.last_received) > PROBE_AFTER;
         let is_local = |peer: &&Peer| self.live_nodes(&self.data_centre).contains(&peer.beat.node);
-        let late = self.peers.iter().filter(is_late).filter(is_local);
-        late.min_by_key(|peer| peer.received)
+        let overdue = self.peers.iter().filter(is_overdue).filter(is_local);
+        overdue
+            .min_by_key(|peer| peer.last_received)
             .map(|peer| peer.beat.node)
     }
 
-    fn others_in<'a>(&'a self, place: &'a str) -> impl Iterator<Item = id::Node> + 'a {
+    fn others_in<'a>(&'a self, data_centre: &'a str) -> impl Iterator<Item = id::Node> + 'a {
         self.others()
-            .filter(move |member| member.place == place)
+            .filter(move |member| member.place == data_centre)
             .map(|member| member.node)
     }
 
@@ -410,27 +425,27 @@
     }
 
     fn other_data_centres(&self) -> Vec<String> {
-        let mut places: Vec<String> = self
+        let mut data_centres: Vec<String> = self
             .others()
             .filter(|member| member.place != self.data_centre)
             .map(|member| member.place.clone())
             .collect();
-        places.sort_unstable();
-        places.dedup();
-        places
+        data_centres.sort_unstable();
+        data_centres.dedup();
+        data_centres
     }
 
-    /// Returns the heartbeats to pass on, this node's own first.
+    /// Returns the heartbeats to send to peers, this node's own first.
     #[must_use]
     pub fn heartbeats(&self) -> Vec<Beat> {
         let mut beats = vec![Beat {
             node: self.local_node,
             incarnation: self.incarnation,
-            counter: self.counter,
+            counter: self.heartbeat_count,
             leaving: self.leaving,
         }];
         let mut newest: Vec<&Peer> = self.peers.iter().collect();
-        newest.sort_by_key(|peer| std::cmp::Reverse(peer.received));
+        newest.sort_by_key(|peer| std::cmp::Reverse(peer.last_received));
         let is_local = |peer: &Peer| {
             self.member(peer.beat.node)
                 .is_some_and(|member| member.place == self.data_centre)
@@ -447,37 +462,38 @@
         beats
     }
 
-    /// Returns the pool summaries to pass on besides this node's own.
+    /// Returns the newest pool summaries of this data centre to send to peers.
     #[must_use]
     pub fn summaries(&self, snapshot: &Snapshot, now: id::Time) -> Vec<Summary> {
-        let mut newest: Vec<&Seen> = self
+        let mut newest: Vec<&PoolState> = self
             .summaries
             .iter()
-            .filter(|seen| now.saturating_sub(seen.received) < LOCAL_TIMEOUT)
-            .filter(|seen| {
+            .filter(|state| now.saturating_sub(state.received) < LOCAL_TIMEOUT)
+            .filter(|state| {
                 snapshot
-                    .pool(seen.summary.pool)
+                    .pool(state.summary.pool)
                     .is_some_and(|pool| pool.place == self.data_centre)
             })
             .collect();
-        newest.sort_by_key(|seen| std::cmp::Reverse(seen.received));
+        newest.sort_by_key(|state| std::cmp::Reverse(state.received));
         newest
             .into_iter()
             .take(MAX_SUMMARIES)
-            .map(|seen| seen.summary.clone())
+            .map(|state| state.summary.clone())
             .collect()
     }
 
-    /// Drops what is known of pools that left the configuration.
+    /// Removes the summaries of pools that the configuration no longer contains.
     pub fn remove_unconfigured_pools(&mut self, snapshot: &Snapshot) {
         self.summaries
-            .retain(|seen| snapshot.pool(seen.summary.pool).is_some());
+            .retain(|state| snapshot.pool(state.summary.pool).is_some());
     }
 }
 
-fn add_live(live: &mut Vec<(String, Vec<id::Node>)>, place: &str, node: id::Node) {
-    match live.binary_search_by(|(each, _)| each.as_str().cmp(place)) {
-        Ok(at) => live[at].1.push(node),
-        Err(at) => live.insert(at, (place.to_owned(), vec![node])),
+/// Adds a node to the sorted list of live nodes by data centre.
+fn add_live(live: &mut Vec<(String, Vec<id::Node>)>, data_centre: &str, node: id::Node) {
+    match live.binary_search_by(|(name, _)| name.as_str().cmp(data_centre)) {
+        Ok(index) => live[index].1.push(node),
+        Err(index) => live.insert(index, (data_centre.to_owned(), vec![node])),
     }
 }
--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -196,7 +196,8 @@
             Event::Message(envelope) => self.receive(envelope, now, out),
             Event::Published(delta) => self.published(delta, now, out),
             Event::Reported { endpoint, report } => {
-                self.pools.report(endpoint, report, now, &mut out.letters);
+                self.pools
+                    .handle_report(endpoint, report, now, &mut out.letters);
             }
             Event::Drain => self.drain(now, out),
         }
@@ -257,7 +258,7 @@
         self.last_tick = now;
         self.view.refresh(now);
         self.check_proof(now, out);
-        if let Some(delta) = self.fetcher.release(now) {
+        if let Some(delta) = self.fetcher.take_held(now) {
             self.adopt(&delta, now, out);
         }
         if self.unproven.is_none() {
@@ -274,7 +275,7 @@
         self.seek(now, out);
         self.follow_watch(out);
         self.desk.check();
-        self.pools.check();
+        self.pools.check_invariants();
     }
 
     fn tick_owner(&mut self, now: id::Time, out: &mut Outbox) {
@@ -283,7 +284,7 @@
         };
         if !self.view.is_leaving() && self.view.may_own_pools(now) {
             self.pools
-                .follow(&self.view, &snapshot, now, &mut out.letters);
+                .update_ownership(&self.view, &snapshot, now, &mut out.letters);
         }
         self.pools.tick(now, &mut out.letters);
         if self.poll_due <= now {
@@ -300,9 +301,9 @@
     fn wake(&mut self, now: id::Time, out: &mut Outbox) {
         self.last_tick = now;
         self.view.assume_all_alive(now);
-        self.pools.abandon();
+        self.pools.drop_all();
         self.desk.park();
-        let nonce = self.fetcher.nonce();
+        let nonce = self.fetcher.next_nonce();
         self.unproven = Some(Unproven { nonce, since: now });
         self.fetch_from(&self.some_peers(), nonce, out);
     }
@@ -386,7 +387,7 @@
         self.view.refresh(now);
         if let Some(snapshot) = self.config.snapshot().cloned() {
             self.pools
-                .follow(&self.view, &snapshot, now, &mut out.letters);
+                .update_ownership(&self.view, &snapshot, now, &mut out.letters);
         }
         // Everyone in the data centre learns at once, so that the new owners start at once.
         self.view.start_gossip_round(now, &mut self.rng);
@@ -415,7 +416,8 @@
         };
         self.view.record_message(envelope.sender, now);
         if restarted {
-            self.pools.forget(envelope.sender, now, &mut out.letters);
+            self.pools
+                .forget_node(envelope.sender, now, &mut out.letters);
         }
         self.read(envelope.sender, envelope.body, now, out);
     }
@@ -424,12 +426,15 @@
         match body {
             Body::Gossip(gossip) => self.hear(from, &gossip, now, out),
             Body::Ask(ask) if self.unproven.is_none() => {
-                self.pools.ask(from, ask, now, &mut out.letters);
+                self.pools.handle_ask(from, ask, now, &mut out.letters);
             }
             Body::Ask(_) => {}
-            Body::Done(done) => self.pools.done(&done, now, &mut out.letters),
-            Body::Holding(holding) => self.pools.hold(from, &holding, now, &mut out.letters),
-            Body::Handover(handover) => self.pools.inherit(handover, now),
+            Body::Done(done) => self.pools.handle_done(&done, now, &mut out.letters),
+            Body::Holding(holding) => {
+                self.pools
+                    .handle_holding(from, &holding, now, &mut out.letters)
+            }
+            Body::Handover(handover) => self.pools.handle_handover(handover, now),
             Body::Queued(queued) => self.desk.queued(queued.attempt),
             Body::Grant(grant) => {
                 let (attempt, endpoint) = (grant.attempt, grant.endpoint);
@@ -492,7 +497,7 @@
     // Configuration and VM list.
 
     fn fetch(&mut self, from: id::Node, now: id::Time, out: &mut Outbox) {
-        if let Some(nonce) = self.fetcher.may_fetch(now) {
+        if let Some(nonce) = self.fetcher.start_fetch(now) {
             self.fetch_from(&[from], nonce, out);
         }
     }
@@ -535,7 +540,7 @@
     /// A node without a VM list asks the seeds of its settings.
     fn seek(&mut self, now: id::Time, out: &mut Outbox) {
         if self.view.vm_list_revision() == 0
-            && let Some(nonce) = self.fetcher.may_seek(now)
+            && let Some(nonce) = self.fetcher.start_seed_fetch(now)
         {
             out.actions.push(Action::SendToSeeds {
                 body: self.fetch_body(nonce).into(),
@@ -558,7 +563,7 @@
             .all(|member| member.node == self.view.local_node());
         let first = self.fetcher.hold(delta, alone, now);
         if first && !alone {
-            let nonce = self.fetcher.nonce();
+            let nonce = self.fetcher.next_nonce();
             let peers: Vec<id::Node> = self.view.members().iter().map(|each| each.node).collect();
             let order = crate::rank::order(
                 nonce,
@@ -575,7 +580,7 @@
         self.follow_roster(delta, now, out);
         self.adopt(delta, now, out);
         if delta.to > 0 {
-            self.fetcher.answered();
+            self.fetcher.end_wait();
         }
         if self
             .unproven
@@ -595,7 +600,7 @@
             .follow(delta.roster, self.view.members(), transfer, now);
         for member in &old {
             if self.view.member(member.node).is_none() {
-                self.pools.forget(member.node, now, &mut out.letters);
+                self.pools.forget_node(member.node, now, &mut out.letters);
             }
         }
         self.view.refresh(now);
@@ -606,7 +611,7 @@
             Change::Old | Change::Gap => {}
             Change::Adopted(snapshot) => {
                 self.view.remove_unconfigured_pools(&snapshot);
-                self.pools.update(&snapshot);
+                self.pools.update_config(&snapshot);
                 out.actions.push(Action::Adopted {
                     revision: self.config.revision(),
                 });
--- a/crates/peridotdeck-core/src/node/fetcher.rs
+++ b/crates/peridotdeck-core/src/node/fetcher.rs
@@ -1,4 +1,4 @@
-//! When a node asks peers for newer configuration, and what it holds back meanwhile.
+//! Rate limits of configuration fetches, and the delayed first answer of the configuration service.
 
 use std::time::Duration;
 
@@ -6,28 +6,29 @@
 
 use crate::id;
 
-/// Time between two requests for newer configuration.
-const FETCH: Duration = Duration::from_millis(200);
+/// Least time between two fetches of newer configuration from peers.
+const FETCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two requests to the seeds.
-const SEEK: Duration = Duration::from_secs(1);
+/// Least time between two fetches of the VM list from the seeds.
+const SEED_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for which a starting node waits for a peer before it believes the configuration service.
-const START_WAIT: Duration = Duration::from_millis(1_500);
+/// Time for which a starting node waits for a peer before it uses the configuration service's
+/// answer, which may be stale.
+const PEER_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Requests under way, and the service's answer that a starting node holds back.
+/// Times of the last fetches, and the service's answer that a starting node holds back.
 #[derive(Clone, Debug, Default)]
 pub struct Fetcher {
     nonce: u64,
-    fetched: Option<id::Time>,
-    sought: Option<id::Time>,
+    last_fetch: Option<id::Time>,
+    last_seed_fetch: Option<id::Time>,
     held: Option<Delta>,
     release_at: Option<id::Time>,
 }
 
 impl Fetcher {
     /// Returns a new nonce.
-    pub fn nonce(&mut self) -> u64 {
+    pub fn next_nonce(&mut self) -> u64 {
         self.nonce += 1;
         self.nonce
     }
@@ -38,35 +39,37 @@
         self.nonce
     }
 
-    /// Returns a nonce if a request is due.
-    pub fn may_fetch(&mut self, now: id::Time) -> Option<u64> {
+    /// Returns a nonce if a fetch from a peer is due, and counts it as sent.
+    pub fn start_fetch(&mut self, now: id::Time) -> Option<u64> {
         if self
-            .fetched
-            .is_some_and(|fetched| now.saturating_sub(fetched) < FETCH)
+            .last_fetch
+            .is_some_and(|last| now.saturating_sub(last) < FETCH_INTERVAL)
         {
             return None;
         }
-        self.fetched = Some(now);
-        Some(self.nonce())
+        self.last_fetch = Some(now);
+        Some(self.next_nonce())
     }
 
-    /// Returns a nonce if a request to the seeds is due.
-    pub fn may_seek(&mut self, now: id::Time) -> Option<u64> {
+    /// Returns a nonce if a fetch from the seeds is due, and counts it as sent.
+    pub fn start_seed_fetch(&mut self, now: id::Time) -> Option<u64> {
         if self
-            .sought
-            .is_some_and(|sought| now.saturating_sub(sought) < SEEK)
+            .last_seed_fetch
+            .is_some_and(|last| now.saturating_sub(last) < SEED_FETCH_INTERVAL)
         {
             return None;
         }
-        self.sought = Some(now);
-        Some(self.nonce())
+        self.last_seed_fetch = Some(now);
+        Some(self.next_nonce())
     }
 
-    /// Holds the service's answer back until a peer has answered, and returns whether it is the
-    /// first; the newest one counts.
+    /// Holds back the configuration service's answer, and returns whether it is the first one.
+    ///
+    /// It is released when a peer has answered or the wait for peers is over; a node that is
+    /// `alone` does not wait. Of several answers the newest is kept.
     pub fn hold(&mut self, delta: Delta, alone: bool, now: id::Time) -> bool {
         let first = self.release_at.is_none();
-        let wait = if alone { Duration::ZERO } else { START_WAIT };
+        let wait = if alone { Duration::ZERO } else { PEER_WAIT };
         self.release_at.get_or_insert(now + wait);
         if self.held.as_ref().is_none_or(|held| held.to <= delta.to) {
             self.held = Some(delta);
@@ -74,15 +77,15 @@
         first
     }
 
-    /// A peer that has a configuration has answered: nothing is held back any longer.
-    pub fn answered(&mut self) {
+    /// Ends the wait for peers, because a peer that has a configuration has answered.
+    pub fn end_wait(&mut self) {
         if self.release_at.is_some() {
             self.release_at = Some(id::Time::ZERO);
         }
     }
 
-    /// Returns the answer that was held back, once it may be believed.
-    pub fn release(&mut self, now: id::Time) -> Option<Delta> {
+    /// Returns the answer that was held back, once the wait for peers is over.
+    pub fn take_held(&mut self, now: id::Time) -> Option<Delta> {
         if self.release_at.is_some_and(|at| at <= now) {
             self.held.take()
         } else {
--- a/crates/peridotdeck-core/src/node/filter.rs
+++ b/crates/peridotdeck-core/src/node/filter.rs
@@ -1,4 +1,4 @@
-//! Which messages a node believes.
+//! Checks on received messages: known sender, current incarnation, no replay.
 
 use peridotdeck_policy::digest_name;
 use peridotdeck_wire::{Body, Envelope};
@@ -6,20 +6,20 @@
 
 use crate::{id, membership::View};
 
-/// Messages by which a late one may lag behind the newest of its sender.
-const WINDOW: u64 = 128;
+/// Sequence numbers by which a late message may lag behind the newest of its sender.
+const REPLAY_WINDOW: u64 = 128;
 
-/// Why a message was dropped.
+/// Reason for which a message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Drop {
+pub enum DropReason {
     /// The sender is not in the VM list.
     Unknown,
-    /// The sender names another data centre than the VM list does.
+    /// The message names another data centre than the VM list does, or comes from this node.
     Foreign,
-    /// The sender has restarted since.
+    /// The sender has restarted since it sent the message.
     Stale,
-    /// The message has come before, or is too old to tell.
+    /// The message was received before, or is too old for this to be known.
     Replayed,
 }
 
@@ -28,11 +28,11 @@
 pub struct Drops {
     /// Messages of senders that are not in the VM list.
     pub unknown: u64,
-    /// Messages that name another data centre than the VM list does.
+    /// Messages that name another data centre than the VM list does, or come from this node.
     pub foreign: u64,
-    /// Messages of earlier processes.
+    /// Messages of earlier incarnations of their senders.
     pub stale: u64,
-    /// Messages that came before.
+    /// Messages received before, or too old for this to be known.
     pub replayed: u64,
 }
 
@@ -40,11 +40,13 @@
 struct Sender {
     node: id::Node,
     incarnation: id::Incarnation,
+    /// Highest sequence number received.
     newest: u64,
-    seen: u128,
+    /// Bit `n` is set if sequence number `newest - n` was received.
+    received: u128,
 }
 
-/// What has come from each sender.
+/// Accepts or drops messages by the newest incarnation and sequence numbers of each sender.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
     senders: Vec<Sender>,
@@ -58,63 +60,68 @@
         self.drops
     }
 
-    /// Accepts a message and returns whether its sender has restarted.
+    /// Accepts a message and returns whether its sender has restarted since its last message.
     ///
-    /// A node without a VM list accepts only the answer to its own `nonce`.
+    /// A node without a VM list accepts only the answer to its own fetch, which echoes `nonce`.
     ///
     /// # Errors
-    /// Why the message must be ignored; it has been counted.
-    pub fn accept(&mut self, envelope: &Envelope, view: &View, nonce: u64) -> Result<bool, Drop> {
-        let result = self.examine(envelope, view, nonce);
+    /// Returns the reason why the message must be dropped, after counting it.
+    pub fn accept(
+        &mut self,
+        envelope: &Envelope,
+        view: &View,
+        nonce: u64,
+    ) -> Result<bool, DropReason> {
+        let result = self.check(envelope, view, nonce);
         match result {
             Ok(_) => {}
-            Err(Drop::Unknown) => self.drops.unknown += 1,
-            Err(Drop::Foreign) => self.drops.foreign += 1,
-            Err(Drop::Stale) => self.drops.stale += 1,
-            Err(Drop::Replayed) => self.drops.replayed += 1,
+            Err(DropReason::Unknown) => self.drops.unknown += 1,
+            Err(DropReason::Foreign) => self.drops.foreign += 1,
+            Err(DropReason::Stale) => self.drops.stale += 1,
+            Err(DropReason::Replayed) => self.drops.replayed += 1,
         }
         result
     }
 
-    fn examine(&mut self, envelope: &Envelope, view: &View, nonce: u64) -> Result<bool, Drop> {
+    fn check(&mut self, envelope: &Envelope, view: &View, nonce: u64) -> Result<bool, DropReason> {
         if view.vm_list_revision() == 0 {
-            let awaited =
+            let is_awaited =
                 matches!(&envelope.body, Body::Delta(delta) if delta.nonce == nonce && nonce != 0);
-            return if awaited {
+            return if is_awaited {
                 Ok(false)
             } else {
-                Err(Drop::Unknown)
+                Err(DropReason::Unknown)
             };
         }
-        let member = view.member(envelope.sender).ok_or(Drop::Unknown)?;
+        let member = view.member(envelope.sender).ok_or(DropReason::Unknown)?;
         if envelope.sender == view.local_node()
             || digest_name(&member.place) as u32 != envelope.place
         {
-            return Err(Drop::Foreign);
+            return Err(DropReason::Foreign);
         }
-        self.follow(envelope)
+        self.check_sequence(envelope)
     }
 
-    fn follow(&mut self, envelope: &Envelope) -> Result<bool, Drop> {
-        let at = match self
+    fn check_sequence(&mut self, envelope: &Envelope) -> Result<bool, DropReason> {
+        let index = match self
             .senders
             .binary_search_by_key(&envelope.sender, |sender| sender.node)
         {
-            Ok(at) => at,
-            Err(at) => {
-                self.senders.insert(at, Sender::new(envelope));
+            Ok(index) => index,
+            Err(index) => {
+                self.senders.insert(index, Sender::new(envelope));
                 return Ok(false);
             }
         };
-        let sender = &mut self.senders[at];
+        let sender = &mut self.senders[index];
         if envelope.incarnation < sender.incarnation {
-            return Err(Drop::Stale);
+            return Err(DropReason::Stale);
         }
         if envelope.incarnation > sender.incarnation {
             *sender = Sender::new(envelope);
             return Ok(true);
         }
-        sender.see(envelope.sequence)?;
+        sender.record(envelope.sequence)?;
         Ok(false)
     }
 }
@@ -125,15 +132,15 @@
             node: envelope.sender,
             incarnation: envelope.incarnation,
             newest: envelope.sequence,
-            seen: 1,
+            received: 1,
         }
     }
 
-    fn see(&mut self, sequence: u64) -> Result<(), Drop> {
+    fn record(&mut self, sequence: u64) -> Result<(), DropReason> {
         if sequence > self.newest {
             let ahead = sequence - self.newest;
-            self.seen = if ahead < WINDOW {
-                self.seen << ahead
+            self.received = if ahead < REPLAY_WINDOW {
+                self.received << ahead
             } else {
                 0
             } | 1;
@@ -141,15 +148,15 @@
             return Ok(());
         }
         let behind = self.newest - sequence;
-        let bit = if behind < WINDOW {
+        let bit = if behind < REPLAY_WINDOW {
             1_u128 << behind
         } else {
-            return Err(Drop::Replayed);
+            return Err(DropReason::Replayed);
         };
-        if self.seen & bit != 0 {
-            return Err(Drop::Replayed);
+        if self.received & bit != 0 {
+            return Err(DropReason::Replayed);
         }
-        self.seen |= bit;
+        self.received |= bit;
         Ok(())
     }
 }
--- a/crates/peridotdeck-core/src/owner.rs
+++ b/crates/peridotdeck-core/src/owner.rs
@@ -11,29 +11,29 @@
     pool::{Counts, Reply, Scheduler},
 };
 
-/// Age after which a handover says nothing about the present.
-const HANDOVER_AGE: Duration = Duration::from_secs(2);
+/// Age after which a stored handover is out of date and is dropped.
+const HANDOVER_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// Schedulers, sorted by pool.
+/// The schedulers of the pools that this node owns, sorted by pool.
 #[derive(Clone, Debug)]
 pub struct Pools {
     strategy: Strategy,
     schedulers: Vec<Scheduler>,
-    past: Counts,
+    past_counts: Counts,
     handovers: Vec<(Handover, id::Time)>,
-    live: Vec<id::Node>,
+    live_nodes: Vec<id::Node>,
 }
 
 impl Pools {
-    /// Starts without pools.
+    /// Creates an empty set of pools.
     #[must_use]
     pub fn new(strategy: Strategy) -> Self {
         Self {
             strategy,
             schedulers: Vec::new(),
-            past: Counts::default(),
+            past_counts: Counts::default(),
             handovers: Vec::new(),
-            live: Vec::new(),
+            live_nodes: Vec::new(),
         }
     }
 
@@ -50,8 +50,8 @@
             .flat_map(|pool| pool.pool().endpoints.iter().copied())
     }
 
-    /// Takes over and gives up pools as the view says.
-    pub fn follow(
+    /// Takes over and hands over pools as the membership view requires.
+    pub fn update_ownership(
         &mut self,
         view: &View,
         snapshot: &Arc<Snapshot>,
@@ -59,34 +59,37 @@
         out: &mut Vec<Reply>,
     ) {
         let live = view.live_nodes(view.data_centre());
-        let changed = self.live != live;
+        let changed = self.live_nodes != live;
         for pool in &mut self.schedulers {
             pool.forget_silent(view, now);
             if changed {
                 pool.settle_longer(now);
             }
         }
-        self.live = live.to_vec();
-        let me = Some(view.local_node());
-        let mine = |pool: id::Pool| {
+        self.live_nodes = live.to_vec();
+        let local_node = Some(view.local_node());
+        let is_owned = |pool: id::Pool| {
             snapshot
                 .pool(pool)
-                .is_some_and(|pool| view.owner(pool) == me)
+                .is_some_and(|pool| view.owner(pool) == local_node)
         };
-        for mut pool in self.schedulers.extract_if(.., |pool| !mine(pool.pool().id)) {
+        for mut pool in self
+            .schedulers
+            .extract_if(.., |pool| !is_owned(pool.pool().id))
+        {
             let next = snapshot
                 .pool(pool.pool().id)
                 .and_then(|pool| view.owner(pool));
-            pool.retire(next.filter(|&next| Some(next) != me), out);
-            add(&mut self.past, pool.counts());
+            pool.retire(next.filter(|&next| Some(next) != local_node), out);
+            add(&mut self.past_counts, pool.counts());
         }
         for pool in snapshot
             .pools()
             .iter()
             .filter(|pool| pool.place == view.data_centre())
         {
-            if view.owner(pool) == me
-                && let Err(at) = self.find(pool.id)
+            if view.owner(pool) == local_node
+                && let Err(index) = self.find(pool.id)
             {
                 let (pool, snapshot) = (pool.clone(), Arc::clone(snapshot));
                 let handover = self.take_handover(pool.id);
@@ -94,41 +97,44 @@
                 if let Some(handover) = handover {
                     scheduler.inherit(&handover, now);
                 }
-                self.schedulers.insert(at, scheduler);
+                self.schedulers.insert(index, scheduler);
             }
         }
     }
 
     fn take_handover(&mut self, pool: id::Pool) -> Option<Handover> {
-        let at = self
+        let index = self
             .handovers
             .iter()
-            .position(|(each, _)| each.pool == pool)?;
-        Some(self.handovers.swap_remove(at).0)
+            .position(|(handover, _)| handover.pool == pool)?;
+        Some(self.handovers.swap_remove(index).0)
     }
 
-    /// Takes over a pool from its last owner, which may know of the change before this node does.
-    pub fn inherit(&mut self, handover: Handover, now: id::Time) {
-        self.handovers.retain(|(each, at)| {
-            each.pool != handover.pool && now.saturating_sub(*at) < HANDOVER_AGE
+    /// Handles a handover, the state of a pool that its last owner sends to the next one.
+    ///
+    /// The last owner may learn of the change before this node does. The handover of a pool that
+    /// this node does not own yet is stored for a short time.
+    pub fn handle_handover(&mut self, handover: Handover, now: id::Time) {
+        self.handovers.retain(|(stored, received)| {
+            stored.pool != handover.pool && now.saturating_sub(*received) < HANDOVER_MAX_AGE
         });
         match self.find(handover.pool) {
-            Ok(at) => self.schedulers[at].inherit(&handover, now),
+            Ok(index) => self.schedulers[index].inherit(&handover, now),
             Err(_) => self.handovers.push((handover, now)),
         }
     }
 
-    /// Follows a configuration change.
-    pub fn update(&mut self, snapshot: &Arc<Snapshot>) {
+    /// Applies a configuration change to every scheduler.
+    pub fn update_config(&mut self, snapshot: &Arc<Snapshot>) {
         for pool in &mut self.schedulers {
             pool.update(Arc::clone(snapshot));
         }
     }
 
-    /// Drops all pools after a pause: other nodes may own them now.
-    pub fn abandon(&mut self) {
+    /// Drops all pools after a pause of this process, because other nodes may own them now.
+    pub fn drop_all(&mut self) {
         for pool in self.schedulers.drain(..) {
-            add(&mut self.past, pool.counts());
+            add(&mut self.past_counts, pool.counts());
         }
     }
 
@@ -137,10 +143,10 @@
             .binary_search_by_key(&pool, |scheduler| scheduler.pool().id)
     }
 
-    /// Handles a request for a slot.
-    pub fn ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Reply>) {
-        if let Ok(at) = self.find(ask.pool) {
-            return self.schedulers[at].ask(node, ask, now, out);
+    /// Handles a request for a slot, and denies it if this node does not own the pool.
+    pub fn handle_ask(&mut self, node: id::Node, ask: Ask, now: id::Time, out: &mut Vec<Reply>) {
+        if let Ok(index) = self.find(ask.pool) {
+            return self.schedulers[index].ask(node, ask, now, out);
         }
         let deny = Deny {
             attempt: ask.attempt,
@@ -150,29 +156,35 @@
         out.push((node, Body::from(deny)));
     }
 
-    /// Takes a slot back.
-    pub fn done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Reply>) {
-        if let Ok(at) = self.find(done.pool) {
-            self.schedulers[at].done(done, now, out);
+    /// Handles the end of an attempt: frees its slot, or removes it from the queue.
+    pub fn handle_done(&mut self, done: &Done, now: id::Time, out: &mut Vec<Reply>) {
+        if let Ok(index) = self.find(done.pool) {
+            self.schedulers[index].done(done, now, out);
         }
     }
 
-    /// Learns of slots in use.
-    pub fn hold(&mut self, node: id::Node, holding: &Holding, now: id::Time, out: &mut Vec<Reply>) {
-        if let Ok(at) = self.find(holding.pool) {
-            self.schedulers[at].hold(node, &holding.held, now, out);
+    /// Handles a node's full list of the slots that it holds in a pool.
+    pub fn handle_holding(
+        &mut self,
+        node: id::Node,
+        holding: &Holding,
+        now: id::Time,
+        out: &mut Vec<Reply>,
+    ) {
+        if let Ok(index) = self.find(holding.pool) {
+            self.schedulers[index].hold(node, &holding.held, now, out);
         }
     }
 
-    /// Frees what a dead node held.
-    pub fn forget(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Reply>) {
+    /// Frees the slots and removes the queued requests of a node that has died or restarted.
+    pub fn forget_node(&mut self, node: id::Node, now: id::Time, out: &mut Vec<Reply>) {
         for pool in &mut self.schedulers {
             pool.forget(node, now, out);
         }
     }
 
-    /// Learns from a load report.
-    pub fn report(
+    /// Handles the load report of an endpoint.
+    pub fn handle_report(
         &mut self,
         endpoint: id::Endpoint,
         report: engine::Report,
@@ -186,14 +198,14 @@
         }
     }
 
-    /// Lets time pass in every pool.
+    /// Runs the periodic work of every scheduler.
     pub fn tick(&mut self, now: id::Time, out: &mut Vec<Reply>) {
         for pool in &mut self.schedulers {
             pool.tick(now, out);
         }
     }
 
-    /// Returns the state of all pools for gossip.
+    /// Returns summaries of all pools for gossip, stamped with this node's heartbeat count.
     #[must_use]
     pub fn summaries(&self, stamp: u32, now: id::Time) -> Vec<Summary> {
         self.schedulers
@@ -202,21 +214,21 @@
             .collect()
     }
 
-    /// Returns the counts of all pools, past ones included.
+    /// Returns the summed counts of all pools, including those that this node no longer owns.
     #[must_use]
     pub fn counts(&self) -> Counts {
-        let mut sum = self.past;
+        let mut sum = self.past_counts;
         for pool in &self.schedulers {
             add(&mut sum, pool.counts());
         }
         sum
     }
 
-    /// Checks the counts that must agree.
+    /// Checks the invariants of every scheduler.
     ///
     /// # Panics
-    /// If they do not, which is a fault of this program.
-    pub fn check(&self) {
+    /// Panics if one is violated, which is a bug in this program.
+    pub fn check_invariants(&self) {
         for pool in &self.schedulers {
             pool.check();
         }
--- a/crates/peridotdeck-core/src/refusal.rs
+++ b/crates/peridotdeck-core/src/refusal.rs
@@ -1,22 +1,22 @@
-//! The end of a request without an endpoint's answer.
+//! The router's own answer to a request that gets no answer from an endpoint.
 
 use std::time::Duration;
 
 use crate::Verdict;
 
-/// What a caller is told, whatever names the causes of its interface have.
+/// Verdict and cause sent to a caller; each interface has its own causes `C`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal<C> {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why it ends.
+    /// Cause of the refusal.
     pub cause: C,
-    /// When a new try makes sense.
+    /// Time to wait before a retry, if a retry can succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl<C> Refusal<C> {
-    /// Refuses a request that no endpoint has run.
+    /// Creates the refusal of a request that no endpoint has run.
     #[must_use]
     pub fn not_run(cause: C, retry_after: Option<Duration>) -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Ends a request that an endpoint may have run.
+    /// Creates the refusal of a request that an endpoint may have run.
     #[must_use]
     pub fn may_have_run(cause: C) -> Self {
         Self {
