--- a/crates/peridotdeck-core/src/lib.rs
+++ b/crates/peridotdeck-core/src/lib.rs
@@ -1,21 +1,21 @@
 //! The decisions of a router node, without I/O.
 //!
-//! [`Node`] is given the time and an [`Event`] and returns [`Action`]s for its shell to carry out.
-//! It reads no clock, opens no socket and draws no unseeded randomness, so the randomised tests
-//! drive the very code that ships. The parts, in the order in which a request meets them:
+//! [`Node`] takes the time and an [`Event`], and returns [`Action`]s for its shell to carry out.
+//! It reads no clock, opens no socket and draws no unseeded random numbers, so randomised tests
+//! drive the code that ships. Its modules, in the order in which a request passes them:
 //!
-//! - [`flight`]: the requests that callers gave to this node, from arrival to verdict;
-//! - [`limit`]: customers' rates and retry budgets;
-//! - [`claim`]: at most one run of a call that may not be repeated;
-//! - [`pool`]: the queue and the slots of a group of endpoints, held by one owner node;
-//! - [`engine`]: what the owner knows about one endpoint;
+//! - [`flight`]: the requests in flight of this node's callers, from arrival to verdict;
+//! - [`limit`]: organisations' rate limits and retry budgets;
+//! - [`claim`]: at most one run of a request that must not run twice;
+//! - [`pool`]: the queue and the slots of a group of endpoints, scheduled by one owner node;
+//! - [`engine`]: the state of one endpoint, as the owner knows it;
 //! - [`poison`]: requests that crash endpoints;
-//! - [`membership`]: which peers are alive, and who owns what;
+//! - [`membership`]: the peers that are alive, and the pools that each node owns;
 //! - [`config`]: the configuration in force.
 //!
-//! [`dispatch`] decides without owners, for sites where each node places its own callers' requests.
+//! [`dispatch`] works without owners, for sites where each node places its own callers' requests.
 //!
-//! `docs/ARCHITECTURE.md` follows one request through them.
+//! `docs/ARCHITECTURE.md` follows one request through these modules.
 
 pub mod action;
 pub mod claim;
--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -1,7 +1,7 @@
-//! One router node: events in, actions out.
+//! The state machine of one router node: it takes events and returns actions.
 //!
-//! [`Node::handle`] is the only way in. Messages that the node sends to itself, because it owns the
-//! pool or witnesses the key, take the same path as a peer's, without the network.
+//! All input passes through [`Node::handle`]. A node sends messages to itself where it owns the pool
+//! or witnesses the key; these take the same path as a peer's messages, without the network.
 
 mod fetcher;
 mod filter;
@@ -26,33 +26,33 @@
     request::{Call, Cause, Refusal},
 };
 
-/// Time between two [`Event::Tick`]s.
+/// Time between two [`Event::Tick`] events.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Time without ticks after which the process has been paused and its knowledge is old.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Time without ticks after which the process counts as paused and its view as out of date.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Time to wait for a peer's proof that the view is current; a cut-off node then goes on alone.
-const PROOF_WAIT: Duration = Duration::from_secs(1);
+/// Longest wait after a pause for a peer's answer; a node that is cut off then goes on without one.
+const REVALIDATION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two reads of an endpoint's load report.
-const POLL: Duration = Duration::from_secs(1);
+/// Time between two fetches of an endpoint's load report.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Peers that a starting node asks for a newer configuration.
-const START_ASKED: usize = 5;
+/// Peers from which a starting node fetches a newer configuration.
+const START_FETCH_PEERS: usize = 5;
 
-/// What a node is told at its start.
+/// Parameters with which a node starts.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Number of this VM in the VM list.
     pub node: id::Node,
-    /// Data centre that it stands in.
+    /// Data centre of this VM.
     pub data_centre: String,
-    /// Start of the process, higher than that of any earlier process of this VM.
+    /// Incarnation of the process, higher than that of any earlier process of this VM.
     pub incarnation: id::Incarnation,
-    /// Seed of all randomness.
+    /// Seed of the node's random numbers.
     pub seed: u64,
-    /// Queueing and placement.
+    /// Strategy for queueing and placement.
     pub strategy: Strategy,
 }
 
@@ -67,23 +67,23 @@
     filter: Filter,
     fetcher: Fetcher,
     rng: SmallRng,
-    requests: id::Generator,
+    request_ids: id::Generator,
     last_tick: id::Time,
-    unproven: Option<Unproven>,
-    gossip_due: id::Time,
-    poll_due: id::Time,
-    watching: Option<bool>,
+    revalidation: Option<Revalidation>,
+    next_gossip: id::Time,
+    next_poll: id::Time,
+    is_watching: Option<bool>,
 }
 
-/// A view that may be old, until a peer answers `nonce`.
+/// A check after a pause: the view may be out of date until a peer answers the fetch with `nonce`.
 #[derive(Clone, Copy, Debug)]
-struct Unproven {
+struct Revalidation {
     nonce: u64,
-    since: id::Time,
+    started: id::Time,
 }
 
 impl Node {
-    /// Starts a node that knows nothing but its own place.
+    /// Creates a node that has neither a configuration nor a VM list yet.
     #[must_use]
     pub fn new(setup: Setup) -> Self {
         let ids = id::Generator::new(setup.node, setup.incarnation);
@@ -96,18 +96,18 @@
             filter: Filter::default(),
             fetcher: Fetcher::default(),
             rng: SmallRng::seed_from_u64(setup.seed),
-            requests: ids,
+            request_ids: ids,
             last_tick: id::Time::ZERO,
-            unproven: None,
-            gossip_due: id::Time::ZERO,
-            poll_due: id::Time::ZERO,
-            watching: None,
+            revalidation: None,
+            next_gossip: id::Time::ZERO,
+            next_poll: id::Time::ZERO,
+            is_watching: None,
         }
     }
 
     /// Returns a new request id.
     pub fn next_request_id(&mut self) -> id::Request {
-        self.requests.issue()
+        self.request_ids.issue()
     }
 
     /// Returns the configuration in force.
@@ -116,49 +116,51 @@
         self.config.snapshot()
     }
 
-    /// Returns the configuration parts and their revision.
+    /// Returns the configuration's parts and revisions.
     #[must_use]
     pub fn config(&self) -> &config::Store {
         &self.config
     }
 
-    /// Returns what the node knows of its peers.
+    /// Returns the node's view of the fleet.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Returns the requests of this node's callers.
+    /// Returns the requests in flight of this node's callers.
     #[must_use]
     pub fn request_table(&self) -> &Desk {
         &self.desk
     }
 
-    /// Returns the pools that this node schedules.
+    /// Returns the schedulers of the pools that this node owns.
     #[must_use]
     pub fn pools(&self) -> &owner::Pools {
         &self.pools
     }
 
-    /// Returns the reservations that this node witnesses.
+    /// Returns the reservations of idempotency keys that this node witnesses.
     #[must_use]
     pub fn witness(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Returns the counts of messages that were not believed.
+    /// Returns the counts of dropped messages.
     #[must_use]
     pub fn drops(&self) -> Drops {
         self.filter.drops()
     }
 
-    /// Returns whether the node may serve callers: configured, current and not leaving.
+    /// Returns whether the node may serve callers.
+    ///
+    /// It must be configured, its view must not be under revalidation, and it must not be leaving.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.config.snapshot().is_some() && self.unproven.is_none() && !self.view.is_leaving()
+        self.config.snapshot().is_some() && self.revalidation.is_none() && !self.view.is_leaving()
     }
 
-    /// Returns whether a leaving node has nothing left to do.
+    /// Returns whether no work is left for a node that is leaving.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.desk.is_idle()
@@ -172,21 +174,21 @@
         })
     }
 
-    /// Handles one event at a time and returns what the shell must do.
+    /// Handles one event and returns the actions for the shell.
     pub fn handle(&mut self, now: id::Time, event: Event) -> Vec<Action> {
         let mut out = Outbox::default();
-        if now.saturating_sub(self.last_tick) > PAUSE && self.last_tick > id::Time::ZERO {
-            self.wake(now, &mut out);
+        if now.saturating_sub(self.last_tick) > PAUSE_THRESHOLD && self.last_tick > id::Time::ZERO {
+            self.revalidate(now, &mut out);
         }
-        self.dispatch(now, event, &mut out);
-        self.deliver(now, &mut out);
+        self.handle_event(now, event, &mut out);
+        self.deliver_messages(now, &mut out);
         out.actions
     }
 
-    fn dispatch(&mut self, now: id::Time, event: Event, out: &mut Outbox) {
+    fn handle_event(&mut self, now: id::Time, event: Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Arrive { request, call } => self.arrive(request, call, now, out),
+            Event::Arrive { request, call } => self.handle_arrival(request, call, now, out),
             Event::Ended { attempt, end } => {
                 self.with_scene(now, |desk, scene| desk.ended(attempt, end, scene, out));
             }
@@ -194,7 +196,7 @@
                 self.with_scene(now, |desk, scene| desk.abandon(request, scene, out));
             }
             Event::Message(envelope) => self.receive(envelope, now, out),
-            Event::Published(delta) => self.published(delta, now, out),
+            Event::Published(delta) => self.handle_published(delta, now, out),
             Event::Reported { endpoint, report } => {
                 self.pools
                     .handle_report(endpoint, report, now, &mut out.letters);
@@ -203,12 +205,12 @@
         }
     }
 
-    /// Delivers letters to this node itself until only peers' letters are left.
-    fn deliver(&mut self, now: id::Time, out: &mut Outbox) {
+    /// Handles the messages to this node itself, and passes those to peers to the shell.
+    fn deliver_messages(&mut self, now: id::Time, out: &mut Outbox) {
         while !out.letters.is_empty() {
             for (node, body) in mem::take(&mut out.letters) {
                 if node == self.view.local_node() {
-                    self.read(node, body, now, out);
+                    self.handle_message(node, body, now, out);
                 } else if let Some(member) = self.view.member(node) {
                     out.actions.push(Action::Send {
                         to: member.clone(),
@@ -232,7 +234,13 @@
         act(&mut self.desk, &mut scene);
     }
 
-    fn arrive(&mut self, request: id::Request, call: Call, now: id::Time, out: &mut Outbox) {
+    fn handle_arrival(
+        &mut self,
+        request: id::Request,
+        call: Call,
+        now: id::Time,
+        out: &mut Outbox,
+    ) {
         let refused = if self.view.is_leaving() {
             Some(Cause::Leaving)
         } else {
@@ -246,39 +254,39 @@
             out.actions.push(Action::Refuse { request, refusal });
             return;
         }
-        let parked = self.unproven.is_some();
+        let parked = self.revalidation.is_some();
         self.with_scene(now, |desk, scene| {
             desk.arrive(request, call, parked, scene, out);
         });
     }
 
-    // Time.
+    // Periodic work.
 
     fn tick(&mut self, now: id::Time, out: &mut Outbox) {
         self.last_tick = now;
         self.view.refresh(now);
-        self.check_proof(now, out);
+        self.expire_revalidation(now, out);
         if let Some(delta) = self.fetcher.take_held(now) {
-            self.adopt(&delta, now, out);
+            self.apply_delta(&delta, now, out);
         }
-        if self.unproven.is_none() {
-            self.tick_owner(now, out);
+        if self.revalidation.is_none() {
+            self.tick_pools(now, out);
             self.with_scene(now, |desk, scene| desk.tick(scene, out));
         }
         for (node, sync) in self.ledger.tick(now) {
             out.tell(node, sync);
         }
-        if self.gossip_due <= now {
-            self.gossip_due = now + GOSSIP_INTERVAL;
+        if self.next_gossip <= now {
+            self.next_gossip = now + GOSSIP_INTERVAL;
             self.gossip(now, out);
         }
-        self.seek(now, out);
-        self.follow_watch(out);
+        self.fetch_from_seeds(now, out);
+        self.update_watch(out);
         self.desk.check();
         self.pools.check_invariants();
     }
 
-    fn tick_owner(&mut self, now: id::Time, out: &mut Outbox) {
+    fn tick_pools(&mut self, now: id::Time, out: &mut Outbox) {
         let Some(snapshot) = self.config.snapshot().cloned() else {
             return;
         };
@@ -287,8 +295,8 @@
                 .update_ownership(&self.view, &snapshot, now, &mut out.letters);
         }
         self.pools.tick(now, &mut out.letters);
-        if self.poll_due <= now {
-            self.poll_due = now + POLL;
+        if self.next_poll <= now {
+            self.next_poll = now + POLL_INTERVAL;
             out.actions.extend(
                 self.pools
                     .endpoints()
@@ -297,79 +305,82 @@
         }
     }
 
-    /// The process has been paused: nothing it knows may be acted on until a peer answers.
-    fn wake(&mut self, now: id::Time, out: &mut Outbox) {
+    /// Starts a revalidation after a pause: until a peer answers, nothing known may be acted on.
+    fn revalidate(&mut self, now: id::Time, out: &mut Outbox) {
         self.last_tick = now;
         self.view.assume_all_alive(now);
         self.pools.drop_all();
         self.desk.park();
         let nonce = self.fetcher.next_nonce();
-        self.unproven = Some(Unproven { nonce, since: now });
-        self.fetch_from(&self.some_peers(), nonce, out);
+        self.revalidation = Some(Revalidation {
+            nonce,
+            started: now,
+        });
+        self.fetch_from(&self.sample_peers(), nonce, out);
     }
 
-    /// Some peers of each data centre, the own one first.
-    fn some_peers(&self) -> Vec<id::Node> {
-        /// Peers asked in each data centre.
-        const ASKED: usize = 3;
+    /// Returns up to three live peers of each data centre.
+    fn sample_peers(&self) -> Vec<id::Node> {
+        /// Peers returned for each data centre.
+        const PEERS_PER_DATA_CENTRE: usize = 3;
         let mut peers: Vec<id::Node> = Vec::new();
-        let mut places: Vec<&str> = self
+        let mut data_centres: Vec<&str> = self
             .view
             .members()
             .iter()
-            .map(|each| each.place.as_str())
+            .map(|member| member.place.as_str())
             .collect();
-        places.sort_unstable();
-        places.dedup();
-        for place in places {
+        data_centres.sort_unstable();
+        data_centres.dedup();
+        for data_centre in data_centres {
             let others = self
                 .view
-                .live_nodes(place)
+                .live_nodes(data_centre)
                 .iter()
                 .filter(|&&node| node != self.view.local_node());
-            peers.extend(others.take(ASKED));
+            peers.extend(others.take(PEERS_PER_DATA_CENTRE));
         }
         peers
     }
 
-    fn check_proof(&mut self, now: id::Time, out: &mut Outbox) {
-        if let Some(unproven) = self.unproven
-            && now.saturating_sub(unproven.since) >= PROOF_WAIT
+    fn expire_revalidation(&mut self, now: id::Time, out: &mut Outbox) {
+        if let Some(revalidation) = self.revalidation
+            && now.saturating_sub(revalidation.started) >= REVALIDATION_TIMEOUT
         {
-            self.proven(now, out);
+            self.end_revalidation(now, out);
         }
     }
 
-    fn proven(&mut self, now: id::Time, out: &mut Outbox) {
-        self.unproven = None;
+    fn end_revalidation(&mut self, now: id::Time, out: &mut Outbox) {
+        self.revalidation = None;
         self.with_scene(now, |desk, scene| desk.resume(scene, out));
     }
 
-    fn follow_watch(&mut self, out: &mut Outbox) {
+    fn update_watch(&mut self, out: &mut Outbox) {
         let watch = self.config.snapshot().is_none() || self.view.is_watcher();
-        if self.watching != Some(watch) {
-            self.watching = Some(watch);
+        if self.is_watching != Some(watch) {
+            self.is_watching = Some(watch);
             out.actions.push(Action::Watch(watch));
         }
     }
 
     fn gossip(&mut self, now: id::Time, out: &mut Outbox) {
-        let (told, probed) = self.view.start_gossip_round(now, &mut self.rng);
+        let (targets, probed) = self.view.start_gossip_round(now, &mut self.rng);
         let own = self.pools.summaries(self.view.heartbeat_count(), now);
         self.view.receive_summaries(&own, now);
-        for node in told {
-            out.tell(node, self.digest(false, now));
+        for node in targets {
+            out.tell(node, self.build_digest(false, now));
         }
         if let Some(node) = probed {
-            out.tell(node, self.digest(true, now));
+            out.tell(node, self.build_digest(true, now));
         }
     }
 
-    fn digest(&self, probe: bool, now: id::Time) -> Gossip {
+    fn build_digest(&self, probe: bool, now: id::Time) -> Gossip {
         let pools = self
             .config
             .snapshot()
-            .map_or_else(Vec::new, |each| self.view.summaries(each, now));
+            .map_or_else(Vec::new, |snapshot| self.view.summaries(snapshot, now));
         Gossip {
             probe,
             revision: self.config.revision(),
@@ -389,9 +400,9 @@
             self.pools
                 .update_ownership(&self.view, &snapshot, now, &mut out.letters);
         }
-        // Everyone in the data centre learns at once, so that the new owners start at once.
+        // Announces the leave to the whole data centre at once, so that new owners start at once.
         self.view.start_gossip_round(now, &mut self.rng);
-        let digest = self.digest(false, now);
+        let digest = self.build_digest(false, now);
         for &node in self.view.live_nodes(self.view.data_centre()) {
             out.tell(node, digest.clone());
         }
@@ -419,13 +430,13 @@
             self.pools
                 .forget_node(envelope.sender, now, &mut out.letters);
         }
-        self.read(envelope.sender, envelope.body, now, out);
+        self.handle_message(envelope.sender, envelope.body, now, out);
     }
 
-    fn read(&mut self, from: id::Node, body: Body, now: id::Time, out: &mut Outbox) {
+    fn handle_message(&mut self, from: id::Node, body: Body, now: id::Time, out: &mut Outbox) {
         match body {
-            Body::Gossip(gossip) => self.hear(from, &gossip, now, out),
-            Body::Ask(ask) if self.unproven.is_none() => {
+            Body::Gossip(gossip) => self.handle_gossip(from, &gossip, now, out),
+            Body::Ask(ask) if self.revalidation.is_none() => {
                 self.pools.handle_ask(from, ask, now, &mut out.letters);
             }
             Body::Ask(_) => {}
@@ -460,10 +471,10 @@
             },
             Body::Claims(claims) => self.ledger.receive(from, &claims, now),
             Body::Fetch(fetch) => {
-                let delta = self.delta(&fetch);
+                let delta = self.build_delta(&fetch);
                 out.tell(from, delta);
             }
-            Body::Delta(delta) => self.learn(&delta, now, out),
+            Body::Delta(delta) => self.handle_delta(&delta, now, out),
         }
     }
 
@@ -482,14 +493,15 @@
         );
     }
 
-    fn hear(&mut self, from: id::Node, gossip: &Gossip, now: id::Time, out: &mut Outbox) {
+    fn handle_gossip(&mut self, from: id::Node, gossip: &Gossip, now: id::Time, out: &mut Outbox) {
         self.view.receive_heartbeats(&gossip.beats, now);
         self.view.receive_summaries(&gossip.pools, now);
         if gossip.probe {
-            out.tell(from, self.digest(false, now));
+            out.tell(from, self.build_digest(false, now));
         }
-        let newer = gossip.revision > self.config.revision().max(self.config.rejected_revision());
-        if newer || gossip.roster > self.view.vm_list_revision() {
+        let is_newer =
+            gossip.revision > self.config.revision().max(self.config.rejected_revision());
+        if is_newer || gossip.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
         }
     }
@@ -504,11 +516,11 @@
 
     fn fetch_from(&mut self, peers: &[id::Node], nonce: u64, out: &mut Outbox) {
         for &peer in peers {
-            out.tell(peer, self.fetch_body(nonce));
+            out.tell(peer, self.build_fetch(nonce));
         }
     }
 
-    fn fetch_body(&self, nonce: u64) -> Fetch {
+    fn build_fetch(&self, nonce: u64) -> Fetch {
         Fetch {
             nonce,
             revision: self.config.revision(),
@@ -516,7 +528,7 @@
         }
     }
 
-    fn delta(&self, fetch: &Fetch) -> Delta {
+    fn build_delta(&self, fetch: &Fetch) -> Delta {
         let newer_roster = self.view.vm_list_revision() > fetch.roster;
         let members = if newer_roster {
             self.view.members().to_vec()
@@ -537,23 +549,25 @@
         }
     }
 
-    /// A node without a VM list asks the seeds of its settings.
-    fn seek(&mut self, now: id::Time, out: &mut Outbox) {
+    /// Fetches the VM list from the seeds in the settings while this node has none.
+    fn fetch_from_seeds(&mut self, now: id::Time, out: &mut Outbox) {
         if self.view.vm_list_revision() == 0
             && let Some(nonce) = self.fetcher.start_seed_fetch(now)
         {
             out.actions.push(Action::SendToSeeds {
-                body: self.fetch_body(nonce).into(),
+                body: self.build_fetch(nonce).into(),
             });
         }
     }
 
-    /// The platform's answer: the VM list counts at once; before the first configuration, peers
-    /// are asked for a newer one, because the service may be stale.
-    fn published(&mut self, delta: Delta, now: id::Time, out: &mut Outbox) {
-        self.follow_roster(&delta, now, out);
+    /// Handles an answer of the configuration service.
+    ///
+    /// The VM list is used at once. Before the first configuration, some peers are first asked for
+    /// a newer one, because the service's answer may be stale.
+    fn handle_published(&mut self, delta: Delta, now: id::Time, out: &mut Outbox) {
+        self.update_vm_list(&delta, now, out);
         if self.config.snapshot().is_some() {
-            self.adopt(&delta, now, out);
+            self.apply_delta(&delta, now, out);
             return;
         }
         let alone = self
@@ -564,33 +578,38 @@
         let first = self.fetcher.hold(delta, alone, now);
         if first && !alone {
             let nonce = self.fetcher.next_nonce();
-            let peers: Vec<id::Node> = self.view.members().iter().map(|each| each.node).collect();
+            let peers: Vec<id::Node> = self
+                .view
+                .members()
+                .iter()
+                .map(|member| member.node)
+                .collect();
             let order = crate::rank::order(
                 nonce,
                 peers
                     .into_iter()
                     .filter(|&node| node != self.view.local_node()),
             );
-            self.fetch_from(&order[..order.len().min(START_ASKED)], nonce, out);
+            self.fetch_from(&order[..order.len().min(START_FETCH_PEERS)], nonce, out);
         }
     }
 
-    /// A peer's answer.
-    fn learn(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
-        self.follow_roster(delta, now, out);
-        self.adopt(delta, now, out);
+    /// Handles a peer's answer to a fetch.
+    fn handle_delta(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
+        self.update_vm_list(delta, now, out);
+        self.apply_delta(delta, now, out);
         if delta.to > 0 {
             self.fetcher.end_wait();
         }
         if self
-            .unproven
-            .is_some_and(|unproven| unproven.nonce == delta.nonce)
+            .revalidation
+            .is_some_and(|revalidation| revalidation.nonce == delta.nonce)
         {
-            self.proven(now, out);
+            self.end_revalidation(now, out);
         }
     }
 
-    fn follow_roster(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
+    fn update_vm_list(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
         let old: Vec<Member> = self.view.members().to_vec();
         if delta.roster == 0 || !self.view.adopt_vm_list(delta.roster, delta.members.clone()) {
             return;
@@ -606,7 +625,7 @@
         self.view.refresh(now);
     }
 
-    fn adopt(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
+    fn apply_delta(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
         match self.config.apply(delta.from, delta.to, &delta.parts) {
             Change::Old | Change::Gap => {}
             Change::Adopted(snapshot) => {
@@ -615,7 +634,8 @@
                 out.actions.push(Action::Adopted {
                     revision: self.config.revision(),
                 });
-                // Those who are told first tell others at once: a change must be in force in 4 s.
+                // Gossips at once, without waiting for the next round: a change must be in force
+                // within 4 s.
                 self.gossip(now, out);
             }
             Change::Rejected(errors) => {
