--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -61,9 +61,9 @@
 pub struct Node {
     view: View,
     config: config::Store,
-    desk: Desk,
+    request_table: Desk,
     pools: owner::Pools,
-    ledger: Ledger,
+    witness: Ledger,
     filter: Filter,
     fetcher: Fetcher,
     rng: SmallRng,
@@ -90,9 +90,9 @@
         Self {
             view: View::new(setup.node, setup.data_centre, setup.incarnation),
             config: config::Store::default(),
-            desk: Desk::new(ids.clone()),
+            request_table: Desk::new(ids.clone()),
             pools: owner::Pools::new(setup.strategy),
-            ledger: Ledger::new(setup.node),
+            witness: Ledger::new(setup.node),
             filter: Filter::default(),
             fetcher: Fetcher::default(),
             rng: SmallRng::seed_from_u64(setup.seed),
@@ -131,7 +131,7 @@
     /// Returns the requests in flight of this node's callers.
     #[must_use]
     pub fn request_table(&self) -> &Desk {
-        &self.desk
+        &self.request_table
     }
 
     /// Returns the schedulers of the pools that this node owns.
@@ -143,7 +143,7 @@
     /// Returns the reservations of idempotency keys that this node witnesses.
     #[must_use]
     pub fn witness(&self) -> &Ledger {
-        &self.ledger
+        &self.witness
     }
 
     /// Returns the counts of dropped messages.
@@ -163,7 +163,7 @@
     /// Returns whether no work is left for a node that is leaving.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.desk.is_idle()
+        self.request_table.is_idle()
     }
 
     /// Returns the pools that a request may use, best first.
@@ -190,10 +190,12 @@
             Event::Tick => self.tick(now, out),
             Event::Arrive { request, call } => self.handle_arrival(request, call, now, out),
             Event::Ended { attempt, end } => {
-                self.with_scene(now, |desk, scene| desk.ended(attempt, end, scene, out));
+                self.with_context(now, |table, context| {
+                    table.ended(attempt, end, context, out);
+                });
             }
             Event::Abandoned { request } => {
-                self.with_scene(now, |desk, scene| desk.abandon(request, scene, out));
+                self.with_context(now, |table, context| table.abandon(request, context, out));
             }
             Event::Message(envelope) => self.receive(envelope, now, out),
             Event::Published(delta) => self.handle_published(delta, now, out),
@@ -221,17 +223,17 @@
         }
     }
 
-    fn with_scene(&mut self, now: id::Time, act: impl FnOnce(&mut Desk, &mut Scene<'_>)) {
+    fn with_context(&mut self, now: id::Time, act: impl FnOnce(&mut Desk, &mut Scene<'_>)) {
         let Some(snapshot) = self.config.snapshot() else {
             return;
         };
-        let mut scene = Scene {
+        let mut context = Scene {
             now,
             view: &self.view,
             snapshot,
             rng: &mut self.rng,
         };
-        act(&mut self.desk, &mut scene);
+        act(&mut self.request_table, &mut context);
     }
 
     fn handle_arrival(
@@ -255,8 +257,8 @@
             return;
         }
         let parked = self.revalidation.is_some();
-        self.with_scene(now, |desk, scene| {
-            desk.arrive(request, call, parked, scene, out);
+        self.with_context(now, |table, context| {
+            table.arrive(request, call, parked, context, out);
         });
     }
 
@@ -271,9 +273,9 @@
         }
         if self.revalidation.is_none() {
             self.tick_pools(now, out);
-            self.with_scene(now, |desk, scene| desk.tick(scene, out));
+            self.with_context(now, |table, context| table.tick(context, out));
         }
-        for (node, sync) in self.ledger.tick(now) {
+        for (node, sync) in self.witness.tick(now) {
             out.tell(node, sync);
         }
         if self.next_gossip <= now {
@@ -282,7 +284,7 @@
         }
         self.fetch_from_seeds(now, out);
         self.update_watch(out);
-        self.desk.check();
+        self.request_table.check();
         self.pools.check_invariants();
     }
 
@@ -310,7 +312,7 @@
         self.last_tick = now;
         self.view.assume_all_alive(now);
         self.pools.drop_all();
-        self.desk.park();
+        self.request_table.park();
         let nonce = self.fetcher.next_nonce();
         self.revalidation = Some(Revalidation {
             nonce,
@@ -353,7 +355,7 @@
 
     fn end_revalidation(&mut self, now: id::Time, out: &mut Outbox) {
         self.revalidation = None;
-        self.with_scene(now, |desk, scene| desk.resume(scene, out));
+        self.with_context(now, |table, context| table.resume(context, out));
     }
 
     fn update_watch(&mut self, out: &mut Outbox) {
@@ -406,7 +408,7 @@
         for &node in self.view.live_nodes(self.view.data_centre()) {
             out.tell(node, digest.clone());
         }
-        for entry in self.ledger.entries(now) {
+        for entry in self.witness.entries(now) {
             for witness in crate::claim::witnesses(&entry.key, self.view.members()) {
                 out.tell(
                     witness,
@@ -443,33 +445,35 @@
             Body::Done(done) => self.pools.handle_done(&done, now, &mut out.letters),
             Body::Holding(holding) => {
                 self.pools
-                    .handle_holding(from, &holding, now, &mut out.letters)
+                    .handle_holding(from, &holding, now, &mut out.letters);
             }
             Body::Handover(handover) => self.pools.handle_handover(handover, now),
-            Body::Queued(queued) => self.desk.queued(queued.attempt),
+            Body::Queued(queued) => self.request_table.queued(queued.attempt),
             Body::Grant(grant) => {
                 let (attempt, endpoint) = (grant.attempt, grant.endpoint);
-                self.with_scene(now, |desk, scene| {
-                    desk.grant(from, attempt, endpoint, scene, out);
+                self.with_context(now, |table, context| {
+                    table.grant(from, attempt, endpoint, context, out);
                 });
             }
-            Body::Deny(deny) => self.with_scene(now, |desk, scene| desk.deny(&deny, scene, out)),
-            Body::Preempt(preempt) => self.desk.preempt(preempt.attempt, out),
-            Body::Strike(strike) => self.desk.strike(&strike, now),
+            Body::Deny(deny) => {
+                self.with_context(now, |table, context| table.deny(&deny, context, out));
+            }
+            Body::Preempt(preempt) => self.request_table.preempt(preempt.attempt, out),
+            Body::Strike(strike) => self.request_table.strike(&strike, now),
             Body::Claim(claim) => self.handle_claim(from, &claim, now, out),
             Body::Vote(Vote {
                 attempt, answer, ..
             }) => {
-                self.with_scene(now, |desk, scene| {
-                    desk.vote(from, attempt, answer, scene, out);
+                self.with_context(now, |table, context| {
+                    table.vote(from, attempt, answer, context, out);
                 });
             }
-            Body::Settle(settle) => self.ledger.absorb(&settle.entry, now),
-            Body::Sync(sync) => match self.ledger.page(from, &sync, now) {
+            Body::Settle(settle) => self.witness.absorb(&settle.entry, now),
+            Body::Sync(sync) => match self.witness.page(from, &sync, now) {
                 Some(page) => out.tell(from, page),
                 None => self.fetch(from, now, out),
             },
-            Body::Claims(claims) => self.ledger.receive(from, &claims, now),
+            Body::Claims(claims) => self.witness.receive(from, &claims, now),
             Body::Fetch(fetch) => {
                 let delta = self.build_delta(&fetch);
                 out.tell(from, delta);
@@ -479,7 +483,7 @@
     }
 
     fn handle_claim(&mut self, from: id::Node, claim: &Claim, now: id::Time, out: &mut Outbox) {
-        let answer = self.ledger.vote(claim, now);
+        let answer = self.witness.vote(claim, now);
         if answer == Answer::Stale && claim.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
         }
@@ -529,8 +533,8 @@
     }
 
     fn build_delta(&self, fetch: &Fetch) -> Delta {
-        let newer_roster = self.view.vm_list_revision() > fetch.roster;
-        let members = if newer_roster {
+        let has_newer_list = self.view.vm_list_revision() > fetch.roster;
+        let members = if has_newer_list {
             self.view.members().to_vec()
         } else {
             Vec::new()
@@ -540,7 +544,7 @@
             from: fetch.revision,
             to: self.config.revision(),
             parts: self.config.parts_since(fetch.revision),
-            roster: if newer_roster {
+            roster: if has_newer_list {
                 self.view.vm_list_revision()
             } else {
                 0
@@ -575,8 +579,8 @@
             .members()
             .iter()
             .all(|member| member.node == self.view.local_node());
-        let first = self.fetcher.hold(delta, alone, now);
-        if first && !alone {
+        let is_first = self.fetcher.hold(delta, alone, now);
+        if is_first && !alone {
             let nonce = self.fetcher.next_nonce();
             let peers: Vec<id::Node> = self
                 .view
@@ -615,7 +619,7 @@
             return;
         }
         let transfer = must_sync(self.view.data_centre(), &old, self.view.members());
-        self.ledger
+        self.witness
             .follow(delta.roster, self.view.members(), transfer, now);
         for member in &old {
             if self.view.member(member.node).is_none() {
