--- a/crates/peridotdeck-core/src/flight/candidate.rs
+++ b/crates/peridotdeck-core/src/flight/candidate.rs
@@ -5,7 +5,7 @@
 use peridotdeck_policy::{Pool, Snapshot};
 
 use super::{Flight, Scene};
-use crate::{id, member::View, pool::queue_timeout, request::Call};
+use crate::{id, membership::View, pool::queue_timeout, request::Call};
 
 /// Delay in milliseconds of a pool in the own region that is not the nearest.
 const REGION_PATH_MS: u64 = 2;
@@ -53,7 +53,7 @@
     let mut candidates: Vec<Candidate> = open
         .filter_map(|pool| {
             let owner = view.owner(pool)?;
-            let path_ms = path_ms(pool, view.place(), snapshot);
+            let path_ms = path_ms(pool, view.data_centre(), snapshot);
             let summary = view.summary(pool.id, now);
             let wait_ms = summary.map_or(0, |summary| u64::from(summary.wait_ms));
             let late = !class.bulk && wait_ms + path_ms > slack_ms;
--- a/crates/peridotdeck-core/src/pool/handover.rs
+++ b/crates/peridotdeck-core/src/pool/handover.rs
@@ -5,7 +5,7 @@
 use peridotdeck_wire::{Handover, Held, Holding, Reason};
 
 use super::{HOLDER_TIMEOUT, Message, Run, SETTLE_PERIOD, Scheduler, deny};
-use crate::{engine, id, member::View};
+use crate::{engine, id, membership::View};
 
 impl Scheduler {
     /// Restarts the settling time if it has not ended yet.
@@ -101,11 +101,11 @@
     /// These nodes have died.
     pub fn drop_silent_nodes(&mut self, view: &View, now: id::Time) {
         let silent = |node: id::Node| {
-            view.heard(node)
-                .is_none_or(|last_received| now.saturating_sub(last_received) > HOLDER_TIMEOUT)
+            view.last_received(node)
+                .is_none_or(|heard| now.saturating_sub(heard) > HOLDER_TIMEOUT)
         };
         self.queue
-            .drain(|entry| entry.node != view.me() && silent(entry.node));
+            .drain(|entry| entry.node != view.local_node() && silent(entry.node));
     }
 
     /// Hands the pool over to its next owner, if there is one.
