--- a/crates/peridotdeck-core/src/dispatch/dispatcher.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher.rs
@@ -221,8 +221,8 @@
         for endpoint in &change.updated {
             let key = endpoint.key();
             match self.find(key) {
-                Ok(at) => self.states[at].update(endpoint.clone(), now),
-                Err(at) => {
+                Ok(index) => self.states[index].update(endpoint.clone(), now),
+                Err(index) => {
                     let region = region(&self.options.regions, &endpoint.data_centre);
                     let mut state = State::new(endpoint.clone(), region, now);
                     state.peer_load = self.fleet.load_at(key);
@@ -230,7 +230,7 @@
                         let address = endpoint.address;
                         self.cache_queries.push(CacheQuery { key, address });
                     }
-                    self.states.insert(at, state);
+                    self.states.insert(index, state);
                 }
             }
         }
@@ -238,8 +238,8 @@
 
     fn remove(&mut self, endpoint: &registry::Endpoint) {
         let key = endpoint.key();
-        if let Ok(at) = self.find(key) {
-            self.states.remove(at);
+        if let Ok(index) = self.find(key) {
+            self.states.remove(index);
         }
         self.prefixes.remove_endpoint(key);
     }
@@ -249,13 +249,13 @@
     }
 
     fn state(&self, key: Key) -> Option<&State> {
-        let at = self.find(key).ok()?;
-        Some(&self.states[at])
+        let index = self.find(key).ok()?;
+        Some(&self.states[index])
     }
 
     fn state_mut(&mut self, key: Key) -> Option<&mut State> {
-        let at = self.find(key).ok()?;
-        Some(&mut self.states[at])
+        let index = self.find(key).ok()?;
+        Some(&mut self.states[index])
     }
 }
 
