--- a/crates/peridotdeck-core/benches/decision.rs
+++ b/crates/peridotdeck-core/benches/decision.rs
@@ -4,7 +4,7 @@
 
 use criterion::Criterion;
 use peridotdeck_core::{
-    Strategy, engine, flight::candidates, member::View, pool::Scheduler, request::Call,
+    Strategy, engine, flight::rank_candidates, member::View, pool::Scheduler, request::Call,
 };
 use peridotdeck_policy::{Class, Organisation, Policy, Service, Snapshot};
 use peridotdeck_wire::{Ask, Beat, Done, Member, Outcome};
@@ -82,7 +82,7 @@
 fn choose_pool(criterion: &mut Criterion) {
     let (snapshot, view, call) = (snapshot(), view(), call());
     criterion.bench_function("choose_pool_145_engines", |bencher| {
-        bencher.iter(|| candidates(black_box(&call), Duration::ZERO, &view, &snapshot, NOW));
+        bencher.iter(|| rank_candidates(black_box(&call), Duration::ZERO, &view, &snapshot, NOW));
     });
 }
 
--- a/crates/peridotdeck-core/src/claim.rs
+++ b/crates/peridotdeck-core/src/claim.rs
@@ -6,11 +6,11 @@
 //! clock is involved. A witness that has started empty does not vote on a key until every listed
 //! peer has told it what it must know. `docs/design/CLAIMS.md` states what remains unsafe.
 
-mod ledger;
-mod round;
+mod reservation;
+mod witness;
 
-pub use ledger::{HORIZON, Ledger};
-pub use round::{Round, State};
+pub use reservation::{Reservation, State};
+pub use witness::{RETENTION, Witness};
 
 use peridotdeck_policy::digest_name;
 use peridotdeck_wire::Member;
@@ -18,11 +18,11 @@
 use crate::{id, rank};
 
 /// Witnesses of a key.
-pub const WITNESSES: usize = 3;
+pub const WITNESSES_PER_KEY: usize = 3;
 
 /// Returns the witnesses of a key: in different data centres first.
 #[must_use]
-pub fn witnesses(key: &str, members: &[Member]) -> Vec<id::Node> {
+pub fn choose_witnesses(key: &str, members: &[Member]) -> Vec<id::Node> {
     let digest = digest_name(key);
     let staying = || members.iter().filter(|member| !member.leaving);
     let mut ranked: Vec<(usize, u64, u64, id::Node)> = Vec::new();
@@ -36,7 +36,7 @@
         let place_weight = rank::weight(digest, digest_name(place) as u32);
         for (round, node) in rank::order(digest, nodes)
             .into_iter()
-            .take(WITNESSES)
+            .take(WITNESSES_PER_KEY)
             .enumerate()
         {
             ranked.push((
@@ -50,14 +50,14 @@
     ranked.sort_unstable();
     ranked
         .into_iter()
-        .take(WITNESSES)
+        .take(WITNESSES_PER_KEY)
         .map(|(.., node)| node)
         .collect()
 }
 
 /// Returns whether a change of the VM list may make a node witness of keys that it does not know.
 #[must_use]
-pub fn must_sync(place: &str, old: &[Member], new: &[Member]) -> bool {
+pub fn needs_transfer(place: &str, old: &[Member], new: &[Member]) -> bool {
     let places = |members: &[Member]| {
         let mut names: Vec<String> = members.iter().map(|member| member.place.clone()).collect();
         names.sort_unstable();
@@ -72,7 +72,7 @@
     if old_places != places(new) {
         return true;
     }
-    if old_places.len() < WITNESSES {
+    if old_places.len() < WITNESSES_PER_KEY {
         old != new
     } else {
         own(old) != own(new)
--- a/crates/peridotdeck-core/src/claim/round.rs
+++ b/crates/peridotdeck-core/src/claim/reservation.rs
@@ -7,17 +7,17 @@
 use crate::{id, request};
 
 /// Time after which the claim is sent again to witnesses that have not granted it.
-const RESEND: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Effort while too few witnesses seem alive to win; the view may be a little late.
-const HOPELESS: Duration = Duration::from_millis(600);
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Longest effort; afterwards the caller is told.
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Votes of the witnesses so far.
 #[derive(Clone, Debug)]
-pub struct Round {
+pub struct Reservation {
     claim: Claim,
     witnesses: Vec<id::Node>,
     votes: Vec<(id::Node, Answer)>,
@@ -29,21 +29,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
     /// Votes are missing.
-    Open,
+    Pending,
     /// The key is reserved for this request, and for no other.
-    Won,
+    Reserved,
     /// An earlier call with the key has ended.
-    Ended(Entry),
+    AlreadyEnded(Entry),
     /// The key was used with another call.
-    Reused,
+    KeyReused,
     /// Time is up. Tells whether an earlier call with the key may be running.
-    Lost {
+    TimedOut {
         /// Whether any witness knows of an earlier call.
-        taken: bool,
+        earlier_call: bool,
     },
 }
 
-impl Round {
+impl Reservation {
     /// Starts a round for a request.
     #[must_use]
     pub fn new(
@@ -81,7 +81,7 @@
     }
 
     /// Moves to another set of witnesses after the VM list changed; old votes count no more.
-    pub fn move_to(&mut self, witnesses: Vec<id::Node>, roster: id::Revision) {
+    pub fn change_witnesses(&mut self, witnesses: Vec<id::Node>, roster: id::Revision) {
         if roster != self.claim.roster {
             self.claim.roster = roster;
             self.witnesses = witnesses;
@@ -91,34 +91,34 @@
     }
 
     /// Takes a vote.
-    pub fn vote(&mut self, witness: id::Node, answer: Answer) {
+    pub fn record_vote(&mut self, witness: id::Node, answer: Answer) {
         if !self.witnesses.contains(&witness) {
             return;
         }
         match self.votes.binary_search_by_key(&witness, |vote| vote.0) {
-            Ok(at) => self.votes[at].1 = answer,
-            Err(at) => self.votes.insert(at, (witness, answer)),
+            Ok(index) => self.votes[index].1 = answer,
+            Err(index) => self.votes.insert(index, (witness, answer)),
         }
     }
 
     /// Returns where the round stands; `hopeless` if too few witnesses are alive to win.
     #[must_use]
-    pub fn state(&self, now: id::Time, hopeless: bool) -> State {
-        let taken = || {
+    pub fn state(&self, now: id::Time, majority_unreachable: bool) -> State {
+        let earlier_entries = || {
             self.votes.iter().filter_map(|(_, answer)| match answer {
                 // A witness that has restarted may know this very claim from its peers.
                 Answer::Taken(entry) if entry.attempt != self.claim.attempt => Some(entry),
                 _ => None,
             })
         };
-        if taken().any(|entry| entry.digest != self.claim.digest) {
-            return State::Reused;
+        if earlier_entries().any(|entry| entry.digest != self.claim.digest) {
+            return State::KeyReused;
         }
-        if let Some(entry) = taken().find(|entry| entry.phase == Phase::Ran) {
-            return State::Ended(entry.clone());
+        if let Some(entry) = earlier_entries().find(|entry| entry.phase == Phase::Ran) {
+            return State::AlreadyEnded(entry.clone());
         }
-        if let Some(entry) = taken().find(|entry| entry.phase == Phase::MayHaveRun) {
-            return State::Ended(entry.clone());
+        if let Some(entry) = earlier_entries().find(|entry| entry.phase == Phase::MayHaveRun) {
+            return State::AlreadyEnded(entry.clone());
         }
         let granted = self
             .votes
@@ -126,39 +126,43 @@
             .filter(|(_, answer)| *answer == Answer::Granted)
             .count();
         if granted > self.witnesses.len() / 2 {
-            return State::Won;
+            return State::Reserved;
         }
-        let patience = if hopeless { HOPELESS } else { PATIENCE };
-        if now.saturating_sub(self.started) > patience {
-            return State::Lost {
-                taken: taken().next().is_some(),
+        let timeout = if majority_unreachable {
+            UNREACHABLE_TIMEOUT
+        } else {
+            TIMEOUT
+        };
+        if now.saturating_sub(self.started) > timeout {
+            return State::TimedOut {
+                earlier_call: earlier_entries().next().is_some(),
             };
         }
-        State::Open
+        State::Pending
     }
 
     /// Returns the witnesses to ask (again) and the claim for them.
-    pub fn send(&mut self, now: id::Time) -> Option<(Vec<id::Node>, Claim)> {
+    pub fn claim_to_send(&mut self, now: id::Time) -> Option<(Vec<id::Node>, Claim)> {
         if self
             .sent
-            .is_some_and(|sent| now.saturating_sub(sent) < RESEND)
+            .is_some_and(|sent| now.saturating_sub(sent) < RESEND_INTERVAL)
         {
             return None;
         }
         self.sent = Some(now);
         let granted = |node: id::Node| self.votes.contains(&(node, Answer::Granted));
-        let open = self
+        let missing = self
             .witnesses
             .iter()
             .copied()
             .filter(|&node| !granted(node))
             .collect();
-        Some((open, self.claim.clone()))
+        Some((missing, self.claim.clone()))
     }
 
     /// Returns the record that tells the witnesses how the call ended.
     #[must_use]
-    pub fn settle(&self, phase: Phase, answer: Option<(u16, String)>, now: id::Time) -> Entry {
+    pub fn final_entry(&self, phase: Phase, answer: Option<(u16, String)>, now: id::Time) -> Entry {
         let (status, answer) = answer.unwrap_or_default();
         Entry {
             key: self.claim.key.clone(),
--- a/crates/peridotdeck-core/src/claim/ledger.rs
+++ b/crates/peridotdeck-core/src/claim/witness.rs
@@ -4,11 +4,11 @@
 
 use peridotdeck_wire::{Answer, Claim, Claims, Entry, Member, Phase, Sync};
 
-use super::{WITNESSES, witnesses};
+use super::{WITNESSES_PER_KEY, choose_witnesses};
 use crate::id;
 
 /// Time for which a reservation is remembered; a key may be used again afterwards.
-pub const HORIZON: Duration = Duration::from_secs(900);
+pub const RETENTION: Duration = Duration::from_secs(900);
 
 /// Reservations that a witness holds at most; a full witness does not vote.
 const MAX_ENTRIES: usize = 100_000;
@@ -55,7 +55,7 @@
 
 /// Reservations, sorted by key.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct Witness {
     me: id::Node,
     records: Vec<Record>,
     roster: id::Revision,
@@ -66,8 +66,8 @@
     vouches_from: Option<id::Time>,
 }
 
-impl Ledger {
-    /// Starts empty; the ledger votes only after [`Ledger::follow`] and the transfers that follow.
+impl Witness {
+    /// Starts empty; the ledger votes only after [`Witness::follow`] and the transfers that follow.
     #[must_use]
     pub fn new(me: id::Node) -> Self {
         Self {
@@ -101,7 +101,7 @@
     }
 
     /// Follows a newer VM list; `transfer` tells whether keys may be new to this witness.
-    pub fn follow(
+    pub fn update_members(
         &mut self,
         roster: id::Revision,
         members: &[Member],
@@ -193,11 +193,11 @@
     /// A key is safe to vote on if this node was its witness before the transfer began, or the
     /// transfer is complete.
     fn may_vote(&self, key: &str) -> bool {
-        self.is_ready() || witnesses(key, &self.known).contains(&self.me)
+        self.is_ready() || choose_witnesses(key, &self.known).contains(&self.me)
     }
 
     /// Learns how a reserved call ended, or of a reservation that a peer holds.
-    pub fn absorb(&mut self, entry: &Entry, now: id::Time) {
+    pub fn merge(&mut self, entry: &Entry, now: id::Time) {
         let made = now.saturating_sub(Duration::from_millis(entry.age_ms.into()));
         match self.find(&entry.key) {
             Ok(at) => {
@@ -229,7 +229,7 @@
 
     /// Answers a peer's transfer request with one page of what that peer must know.
     #[must_use]
-    pub fn page(&self, peer: id::Node, sync: &Sync, now: id::Time) -> Option<Claims> {
+    pub fn build_page(&self, peer: id::Node, sync: &Sync, now: id::Time) -> Option<Claims> {
         if self.roster < sync.roster {
             // This node would still vote under the older list; the peer asks again.
             return None;
@@ -237,8 +237,9 @@
         let start = self
             .records
             .partition_point(|record| record.entry.key <= sync.after);
-        let wanted = (start..self.records.len())
-            .filter(|&at| witnesses(&self.records[at].entry.key, &self.members).contains(&peer));
+        let wanted = (start..self.records.len()).filter(|&at| {
+            choose_witnesses(&self.records[at].entry.key, &self.members).contains(&peer)
+        });
         let mut page: Vec<usize> = wanted.take(PAGE + 1).collect();
         let last = page.len() <= PAGE;
         page.truncate(PAGE);
@@ -252,9 +253,9 @@
     }
 
     /// Takes one page of a transfer.
-    pub fn receive(&mut self, peer: id::Node, claims: &Claims, now: id::Time) {
+    pub fn receive_page(&mut self, peer: id::Node, claims: &Claims, now: id::Time) {
         for entry in &claims.entries {
-            self.absorb(entry, now);
+            self.merge(entry, now);
         }
         if claims.roster != self.roster {
             return;
@@ -274,8 +275,8 @@
     /// Forgets old reservations and returns the transfer requests to send.
     pub fn tick(&mut self, now: id::Time) -> Vec<(id::Node, Sync)> {
         self.records
-            .retain(|record| now.saturating_sub(record.at) < HORIZON);
-        if now.saturating_sub(self.since) >= HORIZON && !self.sources.is_empty() {
+            .retain(|record| now.saturating_sub(record.at) < RETENTION);
+        if now.saturating_sub(self.since) >= RETENTION && !self.sources.is_empty() {
             // Whatever the silent peers knew is older than any reservation lives.
             self.sources.clear();
             self.finish_transfer(now);
@@ -332,7 +333,7 @@
     let mut places: Vec<&str> = members.iter().map(|member| member.place.as_str()).collect();
     places.sort_unstable();
     places.dedup();
-    let spread = places.len() >= WITNESSES;
+    let spread = places.len() >= WITNESSES_PER_KEY;
     let others = members.iter().filter(|member| member.node != me);
     let sharing = others.filter(|member| !spread || Some(&member.place) != place);
     sharing.map(|member| member.node).collect()
--- a/crates/peridotdeck-core/src/flight.rs
+++ b/crates/peridotdeck-core/src/flight.rs
@@ -1,16 +1,16 @@
 //! The requests that callers gave to this node.
 //!
 //! A flight moves through stages: it may reserve its idempotency key, asks the owner of a pool for a
-//! slot, runs at an endpoint, and rests before another try. [`Desk`] holds all flights and makes
+//! slot, runs at an endpoint, and rests before another try. [`Table`] holds all flights and makes
 //! every transition; each flight ends exactly once, by an answer, a refusal or the caller's leave.
 
 mod candidate;
-mod desk;
-mod scene;
+mod context;
+mod table;
 
-pub use candidate::{Candidate, candidates};
-pub use desk::{Counts, Desk};
-pub use scene::{Outbox, Scene};
+pub use candidate::{Candidate, rank_candidates};
+pub use context::{Context, Outbox};
+pub use table::{Counts, Table};
 
 use std::time::Duration;
 
@@ -20,15 +20,15 @@
 #[derive(Clone, Debug)]
 pub enum Stage {
     /// Waits until the node has proved that its view is current.
-    Parked,
+    Suspended,
     /// Reserves its idempotency key.
     Claiming,
     /// Waits for a slot.
-    Asking(Asking),
+    RequestingSlot(SlotRequest),
     /// Runs at an endpoint.
     Running(Running),
     /// Waits before it asks again.
-    Resting {
+    BackingOff {
         /// End of the rest.
         until: id::Time,
     },
@@ -36,7 +36,7 @@
 
 /// A request for a slot.
 #[derive(Clone, Debug)]
-pub struct Asking {
+pub struct SlotRequest {
     /// The attempt.
     pub attempt: id::Attempt,
     /// Pool that is asked.
@@ -74,23 +74,23 @@
     pub call: request::Call,
     /// When it arrived, or when the answer that had begun was interrupted: the time from which the
     /// wait counts against the class's patience.
-    pub since: id::Time,
+    pub waiting_since: id::Time,
     /// Where it stands.
     pub stage: Stage,
     /// Reservation of its idempotency key.
-    pub round: Option<claim::Round>,
+    pub reservation: Option<claim::Reservation>,
     /// Failed attempts.
     pub failures: u32,
     /// Endpoints that failed it.
-    pub avoid: Vec<id::Endpoint>,
+    pub failed_endpoints: Vec<id::Endpoint>,
     /// Pools that refused it.
-    pub refused: Vec<id::Pool>,
+    pub refused_by: Vec<id::Pool>,
     /// Output tokens that the caller has received.
-    pub delivered: u32,
+    pub delivered_tokens: u32,
     /// Whether an endpoint may have run it.
     pub may_have_run: bool,
     /// Whether the caller has gone, while the call must be seen through.
-    pub orphan: bool,
+    pub orphaned: bool,
 }
 
 impl Flight {
@@ -100,15 +100,15 @@
         Self {
             request,
             call,
-            since: now,
-            stage: Stage::Parked,
-            round: None,
+            waiting_since: now,
+            stage: Stage::Suspended,
+            reservation: None,
             failures: 0,
-            avoid: Vec::new(),
-            refused: Vec::new(),
-            delivered: 0,
+            failed_endpoints: Vec::new(),
+            refused_by: Vec::new(),
+            delivered_tokens: 0,
             may_have_run: false,
-            orphan: false,
+            orphaned: false,
         }
     }
 
@@ -116,7 +116,7 @@
     #[must_use]
     pub fn attempt(&self) -> Option<id::Attempt> {
         match &self.stage {
-            Stage::Asking(asking) => Some(asking.attempt),
+            Stage::RequestingSlot(slot_request) => Some(slot_request.attempt),
             Stage::Running(running) => Some(running.attempt),
             _ => None,
         }
@@ -125,6 +125,6 @@
     /// Returns the time for which the request has waited.
     #[must_use]
     pub fn waited(&self, now: id::Time) -> Duration {
-        now.saturating_sub(self.since)
+        now.saturating_sub(self.waiting_since)
     }
 }
--- a/crates/peridotdeck-core/src/flight/candidate.rs
+++ b/crates/peridotdeck-core/src/flight/candidate.rs
@@ -4,7 +4,7 @@
 
 use peridotdeck_policy::{Pool, Snapshot};
 
-use super::{Flight, Scene};
+use super::{Context, Flight};
 use crate::{id, member::View, pool::patience, request::Call};
 
 /// Delay in milliseconds of a pool in the own region that is not the nearest.
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Candidate {
     /// Whether the class's promise would be missed there.
-    pub late: bool,
+    pub misses_target: bool,
     /// Delay of the path in milliseconds.
     pub path_ms: u64,
     /// Expected wait for a slot in milliseconds.
     pub wait_ms: u64,
     /// Slots in use rather than free, so that the freest pool comes first.
-    pub scarcity: u32,
+    pub inverted_free_slots: u32,
     /// The pool.
     pub pool: id::Pool,
     /// Node that schedules it.
@@ -35,7 +35,7 @@
 /// The nearest pools come first; a farther one is better only if the nearer ones cannot keep the
 /// class's promise, because paths between regions are slow and paid by volume.
 #[must_use]
-pub fn candidates(
+pub fn rank_candidates(
     call: &Call,
     waited: Duration,
     view: &View,
@@ -56,13 +56,13 @@
             let path_ms = path_ms(pool, view.place(), snapshot);
             let summary = view.summary(pool.id, now);
             let wait_ms = summary.map_or(0, |summary| u64::from(summary.wait_ms));
-            let late = !class.bulk && wait_ms + path_ms > slack_ms;
-            let scarcity = u32::MAX - summary.map_or(0, |summary| summary.free);
+            let misses_target = !class.bulk && wait_ms + path_ms > slack_ms;
+            let inverted_free_slots = u32::MAX - summary.map_or(0, |summary| summary.free);
             Some(Candidate {
-                late,
+                misses_target,
                 path_ms,
                 wait_ms,
-                scarcity,
+                inverted_free_slots,
                 pool: pool.id,
                 owner,
             })
@@ -93,10 +93,16 @@
 }
 
 /// Chooses the pool to ask among those that have not refused the request.
-pub(super) fn choose(flight: &Flight, scene: &Scene<'_>) -> Option<(id::Pool, id::Node)> {
-    let waited = flight.waited(scene.now);
-    candidates(&flight.call, waited, scene.view, scene.snapshot, scene.now)
-        .into_iter()
-        .find(|candidate| !flight.refused.contains(&candidate.pool))
-        .map(|candidate| (candidate.pool, candidate.owner))
+pub(super) fn choose_pool(flight: &Flight, context: &Context<'_>) -> Option<(id::Pool, id::Node)> {
+    let waited = flight.waited(context.now);
+    rank_candidates(
+        &flight.call,
+        waited,
+        context.view,
+        context.snapshot,
+        context.now,
+    )
+    .into_iter()
+    .find(|candidate| !flight.refused_by.contains(&candidate.pool))
+    .map(|candidate| (candidate.pool, candidate.owner))
 }
--- a/crates/peridotdeck-core/src/flight/scene.rs
+++ b/crates/peridotdeck-core/src/flight/context.rs
@@ -10,7 +10,7 @@
 
 /// What a transition looks at besides the flights.
 #[derive(Debug)]
-pub struct Scene<'a> {
+pub struct Context<'a> {
     /// Time of the event.
     pub now: id::Time,
     /// Peers and owners.
@@ -21,7 +21,7 @@
     pub rng: &'a mut SmallRng,
 }
 
-impl Scene<'_> {
+impl Context<'_> {
     /// Returns the node that schedules a pool now.
     #[must_use]
     pub fn owner(&self, pool: id::Pool) -> Option<id::Node> {
@@ -37,12 +37,12 @@
     /// Requests to the shell.
     pub actions: Vec<Action>,
     /// Messages to nodes, this one included.
-    pub letters: Vec<(id::Node, Body)>,
+    pub messages: Vec<(id::Node, Body)>,
 }
 
 impl Outbox {
     /// Adds a message.
-    pub fn tell(&mut self, node: id::Node, body: impl Into<Body>) {
-        self.letters.push((node, body.into()));
+    pub fn send(&mut self, node: id::Node, body: impl Into<Body>) {
+        self.messages.push((node, body.into()));
     }
 }
--- a/crates/peridotdeck-core/src/flight/desk.rs
+++ b/crates/peridotdeck-core/src/flight/table.rs
@@ -3,17 +3,17 @@
 //! The transitions stand in one module a stage: [`claiming`], [`asking`], [`running`]; [`upkeep`]
 //! is what time and peers bring.
 
-mod asking;
-mod claiming;
-mod running;
-mod upkeep;
+mod attempt;
+mod maintenance;
+mod reservation;
+mod slot_request;
 
 use std::time::Duration;
 
 use peridotdeck_policy::{Pool, Snapshot};
 use peridotdeck_wire::{Done, Outcome, Settle, Strike};
 
-use super::{Flight, Outbox, Scene, Stage};
+use super::{Context, Flight, Outbox, Stage};
 use crate::{
     Action, claim, id, limit, poison,
     request::{Call, Cause, Refusal},
@@ -68,12 +68,12 @@
 
 /// Flights, sorted by request, with the limits and estimates that they share.
 #[derive(Clone, Debug)]
-pub struct Desk {
+pub struct Table {
     flights: Vec<Flight>,
     limits: limit::Table,
     retries: limit::Retries,
     sizes: Estimate,
-    poison: poison::List,
+    quarantine: poison::List,
     settlements: Vec<Settlement>,
     statements: Vec<Statement>,
     proofs: Vec<Proof>,
@@ -81,7 +81,7 @@
     counts: Counts,
 }
 
-impl Desk {
+impl Table {
     /// Starts empty.
     #[must_use]
     pub fn new(attempts: id::Counter) -> Self {
@@ -90,7 +90,7 @@
             limits: limit::Table::default(),
             retries: limit::Retries::default(),
             sizes: Estimate::default(),
-            poison: poison::List::default(),
+            quarantine: poison::List::default(),
             settlements: Vec::new(),
             statements: Vec::new(),
             proofs: Vec::new(),
@@ -119,104 +119,108 @@
 
     /// Returns the requests that crash endpoints.
     #[must_use]
-    pub fn poison(&self) -> &poison::List {
-        &self.poison
+    pub fn quarantine(&self) -> &poison::List {
+        &self.quarantine
     }
 
-    /// Admits or refuses a new request; a parked one waits for [`Desk::resume`].
+    /// Admits or refuses a new request; a parked one waits for [`Table::resume`].
     ///
     /// # Panics
     /// If the request is known already, which is a fault of this program.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         request: id::Request,
         call: Call,
-        parked: bool,
-        scene: &mut Scene<'_>,
+        suspended: bool,
+        context: &mut Context<'_>,
         out: &mut Outbox,
     ) {
         self.counts.arrived += 1;
-        if let Err(refusal) = self.admit(&call, scene) {
+        if let Err(refusal) = self.check_admission(&call, context) {
             self.counts.ended += 1;
             out.actions.push(Action::Refuse { request, refusal });
             return;
         }
-        if let Some(class) = scene.snapshot.class(&call.class) {
+        if let Some(class) = context.snapshot.class(&call.class) {
             self.retries.earn(&call.class, class.retry_percent);
         }
-        let at = self
+        let index = self
             .flights
             .partition_point(|flight| flight.request < request);
         assert!(
             self.flights
-                .get(at)
+                .get(index)
                 .is_none_or(|flight| flight.request != request),
             "request {request} arrives twice"
         );
         self.flights
-            .insert(at, Flight::new(request, call, scene.now));
-        if !parked {
-            self.start(at, scene, out);
+            .insert(index, Flight::new(request, call, context.now));
+        if !suspended {
+            self.start(index, context, out);
         }
     }
 
-    fn admit(&mut self, call: &Call, scene: &Scene<'_>) -> Result<(), Refusal> {
+    fn check_admission(&mut self, call: &Call, context: &Context<'_>) -> Result<(), Refusal> {
         let not_run = |cause, retry| Err(Refusal::not_run(cause, retry));
-        let organisation = scene.snapshot.organisation(&call.organisation);
-        let known = scene
+        let organisation = context.snapshot.organisation(&call.organisation);
+        let known = context
             .snapshot
             .class(&call.class)
-            .and(scene.snapshot.service(&call.service));
+            .and(context.snapshot.service(&call.service));
         let (Some(organisation), Some(_)) = (organisation, known) else {
             return not_run(Cause::Unknown, None);
         };
-        if self.poison.is_quarantined(call.fingerprint) {
+        if self.quarantine.is_quarantined(call.fingerprint) {
             return not_run(Cause::Quarantined, None);
         }
-        let share = limit::Share::of(organisation, scene.view.live_count());
-        match self.limits.admit(&call.organisation, share, scene.now) {
+        let share = limit::Share::of(organisation, context.view.live_count());
+        match self.limits.admit(&call.organisation, share, context.now) {
             Ok(()) => Ok(()),
             Err(wait) => not_run(Cause::Limited, Some(wait)),
         }
     }
 
-    fn start(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
-        let flight = &mut self.flights[at];
-        if let (Some(claim), None) = (&flight.call.claim, &flight.round) {
-            let witnesses = claim::witnesses(&claim.key, scene.view.members());
+    fn start(&mut self, index: usize, context: &mut Context<'_>, out: &mut Outbox) {
+        let flight = &mut self.flights[index];
+        if let (Some(claim), None) = (&flight.call.claim, &flight.reservation) {
+            let witnesses = claim::choose_witnesses(&claim.key, context.view.members());
             if witnesses.is_empty() {
                 let refusal = Refusal::not_run(Cause::NoWitness, Some(KEEPALIVE));
-                return self.refuse(at, refusal, out);
+                return self.refuse(index, refusal, out);
             }
-            let roster = scene.view.roster();
-            flight.round = Some(claim::Round::new(
+            let roster = context.view.roster();
+            flight.reservation = Some(claim::Reservation::new(
                 flight.request,
                 claim,
                 witnesses,
                 roster,
-                scene.now,
+                context.now,
             ));
             flight.stage = Stage::Claiming;
-            return self.advance_claim(at, scene, out);
+            return self.advance_claim(index, context, out);
         }
-        self.ask(at, scene, out);
+        self.ask(index, context, out);
     }
 
     /// Lets parked requests go on.
-    pub fn resume(&mut self, scene: &mut Scene<'_>, out: &mut Outbox) {
-        for request in self.requests(|flight| matches!(flight.stage, Stage::Parked)) {
-            if let Ok(at) = self.find(request) {
-                self.start(at, scene, out);
+    pub fn resume(&mut self, context: &mut Context<'_>, out: &mut Outbox) {
+        for request in self.requests(|flight| matches!(flight.stage, Stage::Suspended)) {
+            if let Ok(index) = self.find(request) {
+                self.start(index, context, out);
             }
         }
     }
 
     /// Withdraws every ask after a pause: grants that were made meanwhile are not used.
-    pub fn park(&mut self) {
+    pub fn suspend(&mut self) {
         for flight in &mut self.flights {
-            let won = flight.round.is_none() || !matches!(flight.stage, Stage::Claiming);
-            if matches!(flight.stage, Stage::Asking(_) | Stage::Resting { .. }) && won {
-                flight.stage = Stage::Parked;
+            let won = flight.reservation.is_none() || !matches!(flight.stage, Stage::Claiming);
+            if matches!(
+                flight.stage,
+                Stage::RequestingSlot(_) | Stage::BackingOff { .. }
+            ) && won
+            {
+                flight.stage = Stage::Suspended;
             }
         }
     }
@@ -262,10 +266,10 @@
         .map_or(0, |pool| pool.id)
 }
 
-fn broadcast(strike: &Strike, scene: &Scene<'_>, out: &mut Outbox) {
-    for member in scene.view.members() {
-        if member.node != scene.view.me() && scene.view.is_live(member.node, scene.now) {
-            out.tell(member.node, strike.clone());
+fn broadcast(strike: &Strike, context: &Context<'_>, out: &mut Outbox) {
+    for member in context.view.members() {
+        if member.node != context.view.me() && context.view.is_live(member.node, context.now) {
+            out.send(member.node, strike.clone());
         }
     }
 }
--- a/crates/peridotdeck-core/src/flight/desk/upkeep.rs
+++ b/crates/peridotdeck-core/src/flight/table/maintenance.rs
@@ -4,9 +4,9 @@
 
 use peridotdeck_wire::{Held, Holding, Strike};
 
-use super::{Desk, KEEPALIVE, SHARERS, Statement};
+use super::{KEEPALIVE, SHARERS, Statement, Table};
 use crate::{
-    flight::{Asking, Flight, Outbox, Running, Scene, Stage, candidate::choose},
+    flight::{Context, Flight, Outbox, Running, SlotRequest, Stage, candidate::choose_pool},
     id, rank,
 };
 
@@ -25,71 +25,86 @@
 /// Age of a success that still proves an endpoint warm.
 const PROOF_AGE: Duration = Duration::from_secs(10);
 
-impl Desk {
+impl Table {
     /// Learns of a request that crashed an endpoint elsewhere.
-    pub fn strike(&mut self, strike: &Strike, now: id::Time) {
+    pub fn record_crash(&mut self, strike: &Strike, now: id::Time) {
         if strike.cleared {
-            self.poison.clear(strike.fingerprint);
+            self.quarantine.clear(strike.fingerprint);
         } else {
-            self.poison.strike(strike.fingerprint, strike.endpoint, now);
+            self.quarantine
+                .strike(strike.fingerprint, strike.endpoint, now);
             self.disprove(strike.endpoint);
         }
     }
 
     /// Sends what is due again, and tells owners what is held.
-    pub fn tick(&mut self, scene: &mut Scene<'_>, out: &mut Outbox) {
-        self.poison.expire(scene.now);
+    pub fn tick(&mut self, context: &mut Context<'_>, out: &mut Outbox) {
+        self.quarantine.expire(context.now);
         self.proofs
-            .retain(|proof| scene.now.saturating_sub(proof.last) < PROOF_AGE);
-        for request in self.requests(|flight| !matches!(flight.stage, Stage::Parked)) {
-            if let Ok(at) = self.find(request) {
-                self.tick_flight(at, scene, out);
+            .retain(|proof| context.now.saturating_sub(proof.last) < PROOF_AGE);
+        for request in self.requests(|flight| !matches!(flight.stage, Stage::Suspended)) {
+            if let Ok(index) = self.find(request) {
+                self.tick_flight(index, context, out);
             }
         }
-        self.send_settlements(scene.now, out);
-        self.state_holdings(scene, out);
+        self.send_settlements(context.now, out);
+        self.state_holdings(context, out);
     }
 
-    pub(super) fn tick_flight(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
-        match &self.flights[at].stage {
-            Stage::Claiming => self.advance_claim(at, scene, out),
-            Stage::Resting { until } if *until <= scene.now => self.ask(at, scene, out),
-            Stage::Asking(_) => self.tick_ask(at, scene, out),
+    pub(super) fn tick_flight(
+        &mut self,
+        index: usize,
+        context: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
+        match &self.flights[index].stage {
+            Stage::Claiming => self.advance_claim(index, context, out),
+            Stage::BackingOff { until } if *until <= context.now => self.ask(index, context, out),
+            Stage::RequestingSlot(_) => self.tick_ask(index, context, out),
             _ => {}
         }
     }
 
-    pub(super) fn tick_ask(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
-        let Stage::Asking(asking) = &self.flights[at].stage else {
+    pub(super) fn tick_ask(&mut self, index: usize, context: &mut Context<'_>, out: &mut Outbox) {
+        let Stage::RequestingSlot(slot_request) = &self.flights[index].stage else {
             return;
         };
-        let owner = scene.owner(asking.pool);
-        if owner != Some(asking.owner) {
-            return self.ask(at, scene, out);
+        let owner = context.owner(slot_request.pool);
+        if owner != Some(slot_request.owner) {
+            return self.ask(index, context, out);
         }
-        let silence = scene.now.saturating_sub(asking.sent);
-        let due = if asking.queued { KEEPALIVE } else { ASK_AGAIN };
+        let silence = context.now.saturating_sub(slot_request.sent);
+        let due = if slot_request.queued {
+            KEEPALIVE
+        } else {
+            ASK_AGAIN
+        };
         if silence < due {
             return;
         }
-        if asking.unanswered >= ASKS {
-            return self.help_itself(at, scene, out);
+        if slot_request.unanswered >= ASKS {
+            return self.help_itself(index, context, out);
         }
-        self.send_ask(at, scene.now, out);
+        self.send_ask(index, context.now, out);
     }
 
     /// The owner does not answer: take the node's own small share of an endpoint proven warm, or
     /// try another data centre.
-    pub(super) fn help_itself(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
-        let Stage::Asking(asking) = self.flights[at].stage.clone() else {
+    pub(super) fn help_itself(
+        &mut self,
+        index: usize,
+        context: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
+        let Stage::RequestingSlot(slot_request) = self.flights[index].stage.clone() else {
             return;
         };
-        let share = self.own_share(&asking, scene);
+        let share = self.own_share(&slot_request, context);
         if let Some(endpoint) = share {
             self.counts.direct += 1;
-            let Asking { attempt, pool, .. } = asking;
+            let SlotRequest { attempt, pool, .. } = slot_request;
             return self.run(
-                at,
+                index,
                 Running {
                     attempt,
                     pool,
@@ -99,27 +114,34 @@
                 out,
             );
         }
-        self.flights[at].refused.push(asking.pool);
-        if choose(&self.flights[at], scene).is_some() {
-            return self.ask(at, scene, out);
+        self.flights[index].refused_by.push(slot_request.pool);
+        if choose_pool(&self.flights[index], context).is_some() {
+            return self.ask(index, context, out);
         }
-        self.find_no_pool(at, scene, out);
+        self.find_no_pool(index, context, out);
     }
 
     /// An endpoint that this node ranks among the first for, so that few nodes share it.
-    pub(super) fn own_share(&self, asking: &Asking, scene: &Scene<'_>) -> Option<id::Endpoint> {
-        let pool = scene.snapshot.pool(asking.pool)?;
+    pub(super) fn own_share(
+        &self,
+        slot_request: &SlotRequest,
+        context: &Context<'_>,
+    ) -> Option<id::Endpoint> {
+        let pool = context.snapshot.pool(slot_request.pool)?;
         let ranks = |endpoint: id::Endpoint| {
-            let live = scene.view.live(&pool.place).iter().copied();
-            let order = rank::order(endpoint.into(), live.filter(|&node| node != asking.owner));
+            let live = context.view.live(&pool.place).iter().copied();
+            let order = rank::order(
+                endpoint.into(),
+                live.filter(|&node| node != slot_request.owner),
+            );
             order
                 .iter()
                 .take(SHARERS)
-                .any(|&node| node == scene.view.me())
+                .any(|&node| node == context.view.me())
         };
         let usable = |number: &id::Endpoint| {
-            let endpoint = scene.snapshot.endpoint(*number);
-            let open = endpoint.is_some_and(|endpoint| scene.snapshot.is_open(endpoint));
+            let endpoint = context.snapshot.endpoint(*number);
+            let open = endpoint.is_some_and(|endpoint| context.snapshot.is_open(endpoint));
             open && ranks(*number) && self.is_proven(*number) && !self.uses_directly(*number)
         };
         pool.endpoints.iter().copied().find(usable)
@@ -143,49 +165,49 @@
 
     /// Tells each owner the whole list of slots that this node holds of its pool: a new owner
     /// learns of them, and a lost message does not leak a slot.
-    pub(super) fn state_holdings(&mut self, scene: &Scene<'_>, out: &mut Outbox) {
+    pub(super) fn state_holdings(&mut self, context: &Context<'_>, out: &mut Outbox) {
         for flight in &mut self.flights {
             let Stage::Running(running) = &mut flight.stage else {
                 continue;
             };
-            let Some(owner) = scene.owner(running.pool) else {
+            let Some(owner) = context.owner(running.pool) else {
                 continue;
             };
             if running.owner.is_some() {
                 running.owner = Some(owner);
             }
             let key = (running.pool, owner);
-            let until = scene.now + STATEMENT_TAIL;
+            let until = context.now + STATEMENT_TAIL;
             match self
                 .statements
                 .binary_search_by_key(&key, |each| (each.pool, each.owner))
             {
-                Ok(at) => self.statements[at].until = until,
-                Err(at) => {
+                Ok(index) => self.statements[index].until = until,
+                Err(index) => {
                     let statement = Statement {
                         pool: key.0,
                         owner,
                         until,
-                        due: scene.now,
+                        due: context.now,
                     };
-                    self.statements.insert(at, statement);
+                    self.statements.insert(index, statement);
                 }
             }
         }
-        self.statements.retain(|each| each.until > scene.now);
+        self.statements.retain(|each| each.until > context.now);
         for statement in &mut self.statements {
-            if statement.due <= scene.now {
-                statement.due = scene.now + STATEMENT;
+            if statement.due <= context.now {
+                statement.due = context.now + STATEMENT;
                 let held = held(&self.flights, statement.pool);
-                let (pool, node) = (statement.pool, scene.view.me());
-                out.tell(statement.owner, Holding { pool, node, held });
+                let (pool, node) = (statement.pool, context.view.me());
+                out.send(statement.owner, Holding { pool, node, held });
             }
         }
     }
 
     /// Returns the requests that a customer has in progress here.
     #[must_use]
-    pub fn open(&self, organisation: &str) -> u32 {
+    pub fn open_requests(&self, organisation: &str) -> u32 {
         self.limits.open(organisation)
     }
 
@@ -193,7 +215,7 @@
     ///
     /// # Panics
     /// If they do not, which is a fault of this program.
-    pub fn check(&self) {
+    pub fn check_invariants(&self) {
         assert_eq!(
             self.counts.arrived,
             self.counts.ended + self.flights.len() as u64,
--- a/crates/peridotdeck-core/src/flight/desk/claiming.rs
+++ b/crates/peridotdeck-core/src/flight/table/reservation.rs
@@ -4,10 +4,10 @@
 
 use peridotdeck_wire::{Answer, Phase, Settle};
 
-use super::{Desk, KEEPALIVE, Settlement};
+use super::{KEEPALIVE, Settlement, Table};
 use crate::{
     Action, Verdict, claim,
-    flight::{Outbox, Scene, Stage},
+    flight::{Context, Outbox, Stage},
     id,
     request::{Cause, Refusal},
 };
@@ -18,68 +18,75 @@
 /// Time between two copies of a settlement.
 const SETTLE_AGAIN: Duration = Duration::from_millis(300);
 
-impl Desk {
+impl Table {
     /// Takes a witness's vote.
-    pub fn vote(
+    pub fn handle_vote(
         &mut self,
         witness: id::Node,
         request: id::Request,
         answer: Answer,
-        scene: &mut Scene<'_>,
+        context: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        let Ok(at) = self.find(request) else { return };
-        let flight = &mut self.flights[at];
+        let Ok(index) = self.find(request) else {
+            return;
+        };
+        let flight = &mut self.flights[index];
         if !matches!(flight.stage, Stage::Claiming) {
             return;
         }
-        if let Some(round) = &mut flight.round {
-            round.vote(witness, answer);
+        if let Some(reservation) = &mut flight.reservation {
+            reservation.record_vote(witness, answer);
         }
-        self.advance_claim(at, scene, out);
+        self.advance_claim(index, context, out);
     }
 
-    pub(super) fn advance_claim(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
-        let flight = &mut self.flights[at];
-        let (Some(round), Some(claim)) = (&mut flight.round, &flight.call.claim) else {
+    pub(super) fn advance_claim(
+        &mut self,
+        index: usize,
+        context: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
+        let flight = &mut self.flights[index];
+        let (Some(reservation), Some(claim)) = (&mut flight.reservation, &flight.call.claim) else {
             return;
         };
-        if round.roster() != scene.view.roster() {
-            round.move_to(
-                claim::witnesses(&claim.key, scene.view.members()),
-                scene.view.roster(),
+        if reservation.roster() != context.view.roster() {
+            reservation.change_witnesses(
+                claim::choose_witnesses(&claim.key, context.view.members()),
+                context.view.roster(),
             );
         }
-        let reachable = round
+        let reachable = reservation
             .witnesses()
             .iter()
-            .filter(|&&node| scene.view.is_live(node, scene.now));
-        let hopeless = reachable.count() <= round.witnesses().len() / 2;
-        match round.state(scene.now, hopeless) {
-            claim::State::Open => {
-                if let Some((witnesses, claim)) = round.send(scene.now) {
+            .filter(|&&node| context.view.is_live(node, context.now));
+        let majority_unreachable = reachable.count() <= reservation.witnesses().len() / 2;
+        match reservation.state(context.now, majority_unreachable) {
+            claim::State::Pending => {
+                if let Some((witnesses, claim)) = reservation.claim_to_send(context.now) {
                     for witness in witnesses {
-                        out.tell(witness, claim.clone());
+                        out.send(witness, claim.clone());
                     }
                 }
             }
-            claim::State::Won => self.ask(at, scene, out),
-            claim::State::Ended(entry) if !entry.answer.is_empty() => {
+            claim::State::Reserved => self.ask(index, context, out),
+            claim::State::AlreadyEnded(entry) if !entry.answer.is_empty() => {
                 let request = flight.request;
                 out.actions.push(Action::Replay {
                     request,
                     status: entry.status,
                     body: entry.answer,
                 });
-                self.end(at);
+                self.end(index);
             }
-            claim::State::Ended(entry) => {
+            claim::State::AlreadyEnded(entry) => {
                 let (verdict, cause) = match entry.phase {
                     Phase::Ran => (Verdict::Ran, Cause::AlreadyRan),
                     _ => (Verdict::MayHaveRun, Cause::MayHaveRun),
                 };
                 self.refuse(
-                    at,
+                    index,
                     Refusal {
                         verdict,
                         cause,
@@ -88,35 +95,39 @@
                     out,
                 );
             }
-            claim::State::Reused => self.refuse(at, Refusal::not_run(Cause::KeyReused, None), out),
-            claim::State::Lost { taken: true } => {
-                self.give_up_claim(at, scene.now);
-                self.refuse(at, Refusal::may_have_run(Cause::MayHaveRun), out);
+            claim::State::KeyReused => {
+                self.refuse(index, Refusal::not_run(Cause::KeyReused, None), out)
+            }
+            claim::State::TimedOut { earlier_call: true } => {
+                self.give_up_claim(index, context.now);
+                self.refuse(index, Refusal::may_have_run(Cause::MayHaveRun), out);
             }
-            claim::State::Lost { taken: false } => {
-                self.give_up_claim(at, scene.now);
+            claim::State::TimedOut {
+                earlier_call: false,
+            } => {
+                self.give_up_claim(index, context.now);
                 let refusal = Refusal::not_run(Cause::NoWitness, Some(KEEPALIVE));
-                self.refuse(at, refusal, out);
+                self.refuse(index, refusal, out);
             }
         }
     }
 
-    pub(super) fn give_up_claim(&mut self, at: usize, now: id::Time) {
-        self.settle(at, Phase::NotRun, None, now);
+    pub(super) fn give_up_claim(&mut self, index: usize, now: id::Time) {
+        self.settle(index, Phase::NotRun, None, now);
     }
 
     pub(super) fn settle(
         &mut self,
-        at: usize,
+        index: usize,
         phase: Phase,
         answer: Option<(u16, String)>,
         now: id::Time,
     ) {
-        if let Some(round) = &self.flights[at].round {
+        if let Some(reservation) = &self.flights[index].reservation {
             self.settlements.push(Settlement {
-                witnesses: round.witnesses().to_vec(),
+                witnesses: reservation.witnesses().to_vec(),
                 settle: Settle {
-                    entry: round.settle(phase, answer, now),
+                    entry: reservation.final_entry(phase, answer, now),
                 },
                 copies: 0,
                 due: now,
@@ -130,7 +141,7 @@
                 settlement.copies += 1;
                 settlement.due = now + SETTLE_AGAIN;
                 for &witness in &settlement.witnesses {
-                    out.tell(witness, settlement.settle.clone());
+                    out.send(witness, settlement.settle.clone());
                 }
             }
         }
--- a/crates/peridotdeck-core/src/flight/desk/asking.rs
+++ b/crates/peridotdeck-core/src/flight/table/slot_request.rs
@@ -5,10 +5,10 @@
 use peridotdeck_wire::{Ask, Deny, Outcome, Reason};
 use rand::Rng;
 
-use super::{Desk, KEEPALIVE, REST, done, pool_of};
+use super::{KEEPALIVE, REST, Table, done, pool_of};
 use crate::{
     Action, Verdict,
-    flight::{Asking, Outbox, Running, Scene, Stage, candidate::choose},
+    flight::{Context, Outbox, Running, SlotRequest, Stage, candidate::choose_pool},
     id,
     pool::patience,
     request::{Cause, Refusal},
@@ -17,36 +17,36 @@
 /// Longest rest before another try.
 const MAX_REST: Duration = Duration::from_secs(5);
 
-impl Desk {
-    pub(super) fn ask(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
-        let flight = &self.flights[at];
-        let Some((pool, owner)) = choose(flight, scene) else {
-            return self.find_no_pool(at, scene, out);
+impl Table {
+    pub(super) fn ask(&mut self, index: usize, context: &mut Context<'_>, out: &mut Outbox) {
+        let flight = &self.flights[index];
+        let Some((pool, owner)) = choose_pool(flight, context) else {
+            return self.find_no_pool(index, context, out);
         };
         let attempt = self.attempts.issue();
-        self.flights[at].stage = Stage::Asking(Asking {
+        self.flights[index].stage = Stage::RequestingSlot(SlotRequest {
             attempt,
             pool,
             owner,
-            sent: scene.now,
+            sent: context.now,
             unanswered: 0,
             queued: false,
         });
-        self.send_ask(at, scene.now, out);
+        self.send_ask(index, context.now, out);
     }
 
-    pub(super) fn send_ask(&mut self, at: usize, now: id::Time, out: &mut Outbox) {
-        let flight = &mut self.flights[at];
+    pub(super) fn send_ask(&mut self, index: usize, now: id::Time, out: &mut Outbox) {
+        let flight = &mut self.flights[index];
         let waited = flight.waited(now);
-        let Stage::Asking(asking) = &mut flight.stage else {
+        let Stage::RequestingSlot(slot_request) = &mut flight.stage else {
             return;
         };
-        asking.sent = now;
-        asking.unanswered += 1;
+        slot_request.sent = now;
+        slot_request.unanswered += 1;
         let call = &flight.call;
         let ask = Ask {
-            attempt: asking.attempt,
-            pool: asking.pool,
+            attempt: slot_request.attempt,
+            pool: slot_request.pool,
             class: call.class.clone(),
             organisation: call.organisation.clone(),
             tokens: self
@@ -55,72 +55,77 @@
             prompt: call.prompt,
             prefix: call.prefix,
             fingerprint: call.fingerprint,
-            strikes: self.poison.strikes(call.fingerprint) as u8,
+            strikes: self.quarantine.strikes(call.fingerprint) as u8,
             waited_ms: waited.as_millis() as u32,
-            avoid: flight.avoid.clone(),
+            avoid: flight.failed_endpoints.clone(),
         };
-        out.tell(asking.owner, ask);
+        out.send(slot_request.owner, ask);
     }
 
     /// No pool may take the request now. Bulk waits; interactive work waits as long as its class
     /// allows, because an endpoint may come back.
-    pub(super) fn find_no_pool(&mut self, at: usize, scene: &mut Scene<'_>, out: &mut Outbox) {
-        let flight = &mut self.flights[at];
-        let class = scene.snapshot.class(&flight.call.class);
+    pub(super) fn find_no_pool(
+        &mut self,
+        index: usize,
+        context: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
+        let flight = &mut self.flights[index];
+        let class = context.snapshot.class(&flight.call.class);
         let waits =
-            class.is_some_and(|class| class.bulk || flight.waited(scene.now) < patience(class));
+            class.is_some_and(|class| class.bulk || flight.waited(context.now) < patience(class));
         if waits {
-            flight.refused.clear();
-            return self.rest(at, REST, scene);
+            flight.refused_by.clear();
+            return self.rest(index, REST, context);
         }
         let cause = Cause::NoEndpoint;
-        let verdict = self.verdict(at);
+        let verdict = self.verdict(index);
         self.conclude(
-            at,
+            index,
             Refusal {
                 verdict,
                 cause,
                 retry_after: Some(KEEPALIVE),
             },
-            scene.now,
+            context.now,
             out,
         );
     }
 
-    pub(super) fn rest(&mut self, at: usize, shortest: Duration, scene: &mut Scene<'_>) {
-        let jitter = scene.rng.random_range(0.5..1.0);
-        let flight = &mut self.flights[at];
+    pub(super) fn rest(&mut self, index: usize, shortest: Duration, context: &mut Context<'_>) {
+        let jitter = context.rng.random_range(0.5..1.0);
+        let flight = &mut self.flights[index];
         let doubled = shortest * 2_u32.saturating_pow(flight.failures.min(8));
-        flight.stage = Stage::Resting {
-            until: scene.now + doubled.min(MAX_REST).mul_f64(jitter),
+        flight.stage = Stage::BackingOff {
+            until: context.now + doubled.min(MAX_REST).mul_f64(jitter),
         };
     }
 
     /// The owner says that the request waits.
-    pub fn queued(&mut self, attempt: id::Attempt) {
-        if let Some(at) = self.find_attempt(attempt)
-            && let Stage::Asking(asking) = &mut self.flights[at].stage
+    pub fn mark_queued(&mut self, attempt: id::Attempt) {
+        if let Some(index) = self.find_attempt(attempt)
+            && let Stage::RequestingSlot(slot_request) = &mut self.flights[index].stage
         {
-            asking.queued = true;
-            asking.unanswered = 0;
+            slot_request.queued = true;
+            slot_request.unanswered = 0;
         }
     }
 
     /// The owner grants a slot; a grant that nobody waits for is returned at once.
-    pub fn grant(
+    pub fn handle_grant(
         &mut self,
         owner: id::Node,
         attempt: id::Attempt,
         endpoint: id::Endpoint,
-        scene: &mut Scene<'_>,
+        context: &mut Context<'_>,
         out: &mut Outbox,
     ) {
-        if let Some(at) = self.find_attempt(attempt) {
-            match &self.flights[at].stage {
-                Stage::Asking(asking) if asking.owner == owner => {
-                    let pool = asking.pool;
+        if let Some(index) = self.find_attempt(attempt) {
+            match &self.flights[index].stage {
+                Stage::RequestingSlot(slot_request) if slot_request.owner == owner => {
+                    let pool = slot_request.pool;
                     return self.run(
-                        at,
+                        index,
                         Running {
                             attempt,
                             pool,
@@ -138,12 +143,12 @@
                 _ => {}
             }
         }
-        let pool = pool_of(scene.snapshot, endpoint);
-        out.tell(owner, done(attempt, pool, endpoint, Outcome::Cancelled));
+        let pool = pool_of(context.snapshot, endpoint);
+        out.send(owner, done(attempt, pool, endpoint, Outcome::Cancelled));
     }
 
-    pub(super) fn run(&mut self, at: usize, running: Running, out: &mut Outbox) {
-        let flight = &mut self.flights[at];
+    pub(super) fn run(&mut self, index: usize, running: Running, out: &mut Outbox) {
+        let flight = &mut self.flights[index];
         assert!(
             flight.call.repeatable || !flight.may_have_run,
             "request {} may have run and must not run again",
@@ -158,52 +163,52 @@
     }
 
     /// The owner refuses the attempt.
-    pub fn deny(&mut self, deny: &Deny, scene: &mut Scene<'_>, out: &mut Outbox) {
-        let Some(at) = self.find_attempt(deny.attempt) else {
+    pub fn handle_denial(&mut self, deny: &Deny, context: &mut Context<'_>, out: &mut Outbox) {
+        let Some(index) = self.find_attempt(deny.attempt) else {
             return;
         };
-        let Stage::Asking(asking) = &self.flights[at].stage else {
+        let Stage::RequestingSlot(slot_request) = &self.flights[index].stage else {
             return;
         };
-        let pool = asking.pool;
+        let pool = slot_request.pool;
         match deny.reason {
-            Reason::NotOwner => self.rest(at, REST, scene),
+            Reason::NotOwner => self.rest(index, REST, context),
             Reason::NoEndpoint => {
-                self.flights[at].refused.push(pool);
-                self.ask(at, scene, out);
+                self.flights[index].refused_by.push(pool);
+                self.ask(index, context, out);
             }
             Reason::Overload => {
-                self.flights[at].refused.push(pool);
-                if choose(&self.flights[at], scene).is_some() {
-                    return self.ask(at, scene, out);
+                self.flights[index].refused_by.push(pool);
+                if choose_pool(&self.flights[index], context).is_some() {
+                    return self.ask(index, context, out);
                 }
                 let retry_after = Some(Duration::from_millis(u64::from(deny.retry_ms).max(500)));
-                let verdict = self.verdict(at);
+                let verdict = self.verdict(index);
                 self.conclude(
-                    at,
+                    index,
                     Refusal {
                         verdict,
                         cause: Cause::Overload,
                         retry_after,
                     },
-                    scene.now,
+                    context.now,
                     out,
                 );
             }
             Reason::Quarantined => {
-                let verdict = self.verdict(at);
+                let verdict = self.verdict(index);
                 let refusal = Refusal {
                     verdict,
                     cause: Cause::Quarantined,
                     retry_after: None,
                 };
-                self.conclude(at, refusal, scene.now, out);
+                self.conclude(index, refusal, context.now, out);
             }
         }
     }
 
-    pub(super) fn verdict(&self, at: usize) -> Verdict {
-        if self.flights[at].may_have_run {
+    pub(super) fn verdict(&self, index: usize) -> Verdict {
+        if self.flights[index].may_have_run {
             Verdict::MayHaveRun
         } else {
             Verdict::NotRun
--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -18,8 +18,8 @@
 use crate::{
     Action, Event, Strategy,
     book::{Book, Change},
-    claim::{Ledger, must_sync},
-    flight::{Candidate, Desk, Outbox, Scene, candidates},
+    claim::{Witness, needs_transfer},
+    flight::{Candidate, Context, Outbox, Table, rank_candidates},
     id,
     member::{GOSSIP, View},
     owner::Owner,
@@ -61,9 +61,9 @@
 pub struct Node {
     view: View,
     book: Book,
-    desk: Desk,
+    desk: Table,
     owner: Owner,
-    ledger: Ledger,
+    ledger: Witness,
     inbox: Inbox,
     spread: Spread,
     rng: SmallRng,
@@ -90,9 +90,9 @@
         Self {
             view: View::new(setup.node, setup.place, setup.incarnation),
             book: Book::default(),
-            desk: Desk::new(ids.clone()),
+            desk: Table::new(ids.clone()),
             owner: Owner::new(setup.strategy),
-            ledger: Ledger::new(setup.node),
+            ledger: Witness::new(setup.node),
             inbox: Inbox::default(),
             spread: Spread::default(),
             rng: SmallRng::seed_from_u64(setup.seed),
@@ -130,7 +130,7 @@
 
     /// Returns the requests of this node's callers.
     #[must_use]
-    pub fn desk(&self) -> &Desk {
+    pub fn desk(&self) -> &Table {
         &self.desk
     }
 
@@ -142,7 +142,7 @@
 
     /// Returns the reservations that this node witnesses.
     #[must_use]
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &Witness {
         &self.ledger
     }
 
@@ -168,7 +168,7 @@
     #[must_use]
     pub fn explain(&self, call: &Call, now: id::Time) -> Vec<Candidate> {
         self.book.snapshot().map_or_else(Vec::new, |snapshot| {
-            candidates(call, Duration::ZERO, &self.view, snapshot, now)
+            rank_candidates(call, Duration::ZERO, &self.view, snapshot, now)
         })
     }
 
@@ -188,15 +188,19 @@
             Event::Tick => self.tick(now, out),
             Event::Arrive { request, call } => self.arrive(request, call, now, out),
             Event::Ended { attempt, end } => {
-                self.with_scene(now, |desk, scene| desk.ended(attempt, end, scene, out));
+                self.with_scene(now, |desk, scene| {
+                    desk.handle_attempt_end(attempt, end, scene, out);
+                });
             }
             Event::Abandoned { request } => {
-                self.with_scene(now, |desk, scene| desk.abandon(request, scene, out));
+                self.with_scene(now, |desk, scene| {
+                    desk.handle_disconnect(request, scene, out);
+                });
             }
             Event::Message(envelope) => self.receive(envelope, now, out),
             Event::Published(delta) => self.published(delta, now, out),
             Event::Reported { endpoint, report } => {
-                self.owner.report(endpoint, report, now, &mut out.letters);
+                self.owner.report(endpoint, report, now, &mut out.messages);
             }
             Event::Drain => self.drain(now, out),
         }
@@ -204,8 +208,8 @@
 
     /// Delivers letters to this node itself until only peers' letters are left.
     fn deliver(&mut self, now: id::Time, out: &mut Outbox) {
-        while !out.letters.is_empty() {
-            for (node, body) in mem::take(&mut out.letters) {
+        while !out.messages.is_empty() {
+            for (node, body) in mem::take(&mut out.messages) {
                 if node == self.view.me() {
                     self.read(node, body, now, out);
                 } else if let Some(member) = self.view.member(node) {
@@ -218,11 +222,11 @@
         }
     }
 
-    fn with_scene(&mut self, now: id::Time, act: impl FnOnce(&mut Desk, &mut Scene<'_>)) {
+    fn with_scene(&mut self, now: id::Time, act: impl FnOnce(&mut Table, &mut Context<'_>)) {
         let Some(snapshot) = self.book.snapshot() else {
             return;
         };
-        let mut scene = Scene {
+        let mut scene = Context {
             now,
             view: &self.view,
             snapshot,
@@ -247,7 +251,7 @@
         }
         let parked = self.unproven.is_some();
         self.with_scene(now, |desk, scene| {
-            desk.arrive(request, call, parked, scene, out);
+            desk.admit(request, call, parked, scene, out);
         });
     }
 
@@ -265,7 +269,7 @@
             self.with_scene(now, |desk, scene| desk.tick(scene, out));
         }
         for (node, sync) in self.ledger.tick(now) {
-            out.tell(node, sync);
+            out.send(node, sync);
         }
         if self.gossip_due <= now {
             self.gossip_due = now + GOSSIP;
@@ -273,7 +277,7 @@
         }
         self.seek(now, out);
         self.follow_watch(out);
-        self.desk.check();
+        self.desk.check_invariants();
         self.owner.check();
     }
 
@@ -283,9 +287,9 @@
         };
         if !self.view.is_leaving() && self.view.is_acquainted(now) {
             self.owner
-                .follow(&self.view, &snapshot, now, &mut out.letters);
+                .follow(&self.view, &snapshot, now, &mut out.messages);
         }
-        self.owner.tick(now, &mut out.letters);
+        self.owner.tick(now, &mut out.messages);
         if self.poll_due <= now {
             self.poll_due = now + POLL;
             out.actions.extend(
@@ -301,7 +305,7 @@
         self.last_tick = now;
         self.view.excuse(now);
         self.owner.abandon();
-        self.desk.park();
+        self.desk.suspend();
         let nonce = self.spread.nonce();
         self.unproven = Some(Unproven { nonce, since: now });
         self.fetch_from(&self.some_peers(), nonce, out);
@@ -357,10 +361,10 @@
         let own = self.owner.summaries(self.view.counter(), now);
         self.view.note(&own, now);
         for node in told {
-            out.tell(node, self.digest(false, now));
+            out.send(node, self.digest(false, now));
         }
         if let Some(node) = probed {
-            out.tell(node, self.digest(true, now));
+            out.send(node, self.digest(true, now));
         }
     }
 
@@ -386,17 +390,17 @@
         self.view.refresh(now);
         if let Some(snapshot) = self.book.snapshot().cloned() {
             self.owner
-                .follow(&self.view, &snapshot, now, &mut out.letters);
+                .follow(&self.view, &snapshot, now, &mut out.messages);
         }
         // Everyone in the data centre learns at once, so that the new owners start at once.
         self.view.beat(now, &mut self.rng);
         let digest = self.digest(false, now);
         for &node in self.view.live(self.view.place()) {
-            out.tell(node, digest.clone());
+            out.send(node, digest.clone());
         }
         for entry in self.ledger.entries(now) {
-            for witness in crate::claim::witnesses(&entry.key, self.view.members()) {
-                out.tell(
+            for witness in crate::claim::choose_witnesses(&entry.key, self.view.members()) {
+                out.send(
                     witness,
                     Settle {
                         entry: entry.clone(),
@@ -415,7 +419,7 @@
         };
         self.view.touch(envelope.sender, now);
         if restarted {
-            self.owner.forget(envelope.sender, now, &mut out.letters);
+            self.owner.forget(envelope.sender, now, &mut out.messages);
         }
         self.read(envelope.sender, envelope.body, now, out);
     }
@@ -424,39 +428,41 @@
         match body {
             Body::Gossip(gossip) => self.hear(from, &gossip, now, out),
             Body::Ask(ask) if self.unproven.is_none() => {
-                self.owner.ask(from, ask, now, &mut out.letters);
+                self.owner.ask(from, ask, now, &mut out.messages);
             }
             Body::Ask(_) => {}
-            Body::Done(done) => self.owner.done(&done, now, &mut out.letters),
-            Body::Holding(holding) => self.owner.hold(from, &holding, now, &mut out.letters),
+            Body::Done(done) => self.owner.done(&done, now, &mut out.messages),
+            Body::Holding(holding) => self.owner.hold(from, &holding, now, &mut out.messages),
             Body::Handover(handover) => self.owner.inherit(handover, now),
-            Body::Queued(queued) => self.desk.queued(queued.attempt),
+            Body::Queued(queued) => self.desk.mark_queued(queued.attempt),
             Body::Grant(grant) => {
                 let (attempt, endpoint) = (grant.attempt, grant.endpoint);
                 self.with_scene(now, |desk, scene| {
-                    desk.grant(from, attempt, endpoint, scene, out);
+                    desk.handle_grant(from, attempt, endpoint, scene, out);
                 });
             }
-            Body::Deny(deny) => self.with_scene(now, |desk, scene| desk.deny(&deny, scene, out)),
-            Body::Preempt(preempt) => self.desk.preempt(preempt.attempt, out),
-            Body::Strike(strike) => self.desk.strike(&strike, now),
+            Body::Deny(deny) => {
+                self.with_scene(now, |desk, scene| desk.handle_denial(&deny, scene, out));
+            }
+            Body::Preempt(preempt) => self.desk.handle_preemption(preempt.attempt, out),
+            Body::Strike(strike) => self.desk.record_crash(&strike, now),
             Body::Claim(claim) => self.witness(from, &claim, now, out),
             Body::Vote(Vote {
                 attempt, answer, ..
             }) => {
                 self.with_scene(now, |desk, scene| {
-                    desk.vote(from, attempt, answer, scene, out);
+                    desk.handle_vote(from, attempt, answer, scene, out);
                 });
             }
-            Body::Settle(settle) => self.ledger.absorb(&settle.entry, now),
-            Body::Sync(sync) => match self.ledger.page(from, &sync, now) {
-                Some(page) => out.tell(from, page),
+            Body::Settle(settle) => self.ledger.merge(&settle.entry, now),
+            Body::Sync(sync) => match self.ledger.build_page(from, &sync, now) {
+                Some(page) => out.send(from, page),
                 None => self.fetch(from, now, out),
             },
-            Body::Claims(claims) => self.ledger.receive(from, &claims, now),
+            Body::Claims(claims) => self.ledger.receive_page(from, &claims, now),
             Body::Fetch(fetch) => {
                 let delta = self.delta(&fetch);
-                out.tell(from, delta);
+                out.send(from, delta);
             }
             Body::Delta(delta) => self.learn(&delta, now, out),
         }
@@ -467,7 +473,7 @@
         if answer == Answer::Stale && claim.roster > self.view.roster() {
             self.fetch(from, now, out);
         }
-        out.tell(
+        out.send(
             from,
             Vote {
                 key: claim.key.clone(),
@@ -481,7 +487,7 @@
         self.view.hear(&gossip.beats, now);
         self.view.note(&gossip.pools, now);
         if gossip.probe {
-            out.tell(from, self.digest(false, now));
+            out.send(from, self.digest(false, now));
         }
         let newer = gossip.revision > self.book.revision().max(self.book.rejected());
         if newer || gossip.roster > self.view.roster() {
@@ -499,7 +505,7 @@
 
     fn fetch_from(&mut self, peers: &[id::Node], nonce: u64, out: &mut Outbox) {
         for &peer in peers {
-            out.tell(peer, self.fetch_body(nonce));
+            out.send(peer, self.fetch_body(nonce));
         }
     }
 
@@ -584,12 +590,12 @@
         if delta.roster == 0 || !self.view.follow(delta.roster, delta.members.clone()) {
             return;
         }
-        let transfer = must_sync(self.view.place(), &old, self.view.members());
+        let transfer = needs_transfer(self.view.place(), &old, self.view.members());
         self.ledger
-            .follow(delta.roster, self.view.members(), transfer, now);
+            .update_members(delta.roster, self.view.members(), transfer, now);
         for member in &old {
             if self.view.member(member.node).is_none() {
-                self.owner.forget(member.node, now, &mut out.letters);
+                self.owner.forget(member.node, now, &mut out.messages);
             }
         }
         self.view.refresh(now);
--- a/crates/peridotdeck-core/tests/testsuite/claims.rs
+++ b/crates/peridotdeck-core/tests/testsuite/claims.rs
@@ -4,7 +4,7 @@
 
 use peridotdeck_core::{
     Verdict,
-    claim::{HORIZON, witnesses},
+    claim::{RETENTION, choose_witnesses},
     request::Cause,
 };
 use peridotdeck_wire::Member;
@@ -146,7 +146,7 @@
     world.send(0, reorder(7)).unwrap();
     world.run(1_000);
     assert_eq!(world.node(0).ledger().len(), 1);
-    world.run(HORIZON.as_millis() as u64 + 1_000);
+    world.run(RETENTION.as_millis() as u64 + 1_000);
     assert_eq!(world.node(0).ledger().len(), 0);
 }
 
@@ -163,7 +163,7 @@
         .map(|node| member(node, ["a", "b", "c", "d"][node as usize % 4]))
         .collect();
     for key in 0..100 {
-        let chosen = witnesses(&format!("{key:032x}"), &members);
+        let chosen = choose_witnesses(&format!("{key:032x}"), &members);
         let mut places: Vec<&str> = chosen
             .iter()
             .map(|&node| members[node as usize].place.as_str())
--- a/crates/peridotdeck-router/src/operators.rs
+++ b/crates/peridotdeck-router/src/operators.rs
@@ -293,7 +293,7 @@
     Ok(Explanation {
         class: class.name.clone(),
         tier: class.tier,
-        open: node.desk().open(&organisation.name),
+        open: node.desk().open_requests(&organisation.name),
         concurrency: share.concurrency,
         pools: node
             .explain(&call, now)
@@ -311,6 +311,6 @@
         owner: candidate.owner,
         wait_ms: candidate.wait_ms,
         path_ms: candidate.path_ms,
-        late: candidate.late,
+        late: candidate.misses_target,
     }
 }
