--- a/crates/peridotdeck-core/src/claim/reservation.rs
+++ b/crates/peridotdeck-core/src/claim/reservation.rs
@@ -1,4 +1,4 @@
-//! One entry node's effort to reserve a key.
+//! An entry node's reservation of an idempotency key.
 
 use std::time::Duration;
 
@@ -6,16 +6,17 @@
 
 use crate::{id, request};
 
-/// Time after which the claim is sent again to witnesses that have not granted it.
+/// Interval at which the claim is sent again to witnesses that have not granted it.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Effort while too few witnesses seem alive to win; the view may be a little late.
+/// Maximum wait for votes while no majority of witnesses seems alive. It isn't zero, because the
+/// view of live peers may lag.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Longest effort; afterwards the caller is told.
+/// Maximum wait for votes; afterwards the request is refused.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Votes of the witnesses so far.
+/// A claim on a key, with the votes of its witnesses so far.
 #[derive(Clone, Debug)]
 pub struct Reservation {
     claim: Claim,
@@ -25,26 +26,26 @@
     sent: Option<id::Time>,
 }
 
-/// Where a round stands.
+/// State of a reservation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
-    /// Votes are missing.
+    /// Votes are still missing.
     Pending,
-    /// The key is reserved for this request, and for no other.
+    /// The key is reserved for this request only.
     Reserved,
-    /// An earlier call with the key has ended.
+    /// An earlier request with the key has run, or may have run.
     AlreadyEnded(Entry),
-    /// The key was used with another call.
+    /// The key was used for a request with another content.
     KeyReused,
-    /// Time is up. Tells whether an earlier call with the key may be running.
+    /// No majority granted the key in time.
     TimedOut {
-        /// Whether any witness knows of an earlier call.
+        /// Whether any witness knows of an earlier request with the key, which may be running.
         earlier_call: bool,
     },
 }
 
 impl Reservation {
-    /// Starts a round for a request.
+    /// Creates a reservation for a request, without votes.
     #[must_use]
     pub fn new(
         request: id::Request,
@@ -68,19 +69,19 @@
         }
     }
 
-    /// Returns the witnesses.
+    /// Returns the witnesses of the key.
     #[must_use]
     pub fn witnesses(&self) -> &[id::Node] {
         &self.witnesses
     }
 
-    /// Returns the index of the VM list that named the witnesses.
+    /// Returns the revision of the VM list from which the witnesses were chosen.
     #[must_use]
     pub fn roster(&self) -> id::Revision {
         self.claim.roster
     }
 
-    /// Moves to another set of witnesses after the VM list changed; old votes count no more.
+    /// Replaces the witnesses after a change of the VM list, and discards all votes.
     pub fn change_witnesses(&mut self, witnesses: Vec<id::Node>, roster: id::Revision) {
         if roster != self.claim.roster {
             self.claim.roster = roster;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes a vote.
+    /// Records a vote. Votes of other nodes than the witnesses are ignored.
     pub fn record_vote(&mut self, witness: id::Node, answer: Answer) {
         if !self.witnesses.contains(&witness) {
             return;
@@ -101,12 +102,14 @@
         }
     }
 
-    /// Returns where the round stands; `hopeless` if too few witnesses are alive to win.
+    /// Returns the state of the reservation.
+    ///
+    /// `majority_unreachable` shortens the wait for votes: too few witnesses are alive to grant it.
     #[must_use]
     pub fn state(&self, now: id::Time, majority_unreachable: bool) -> State {
         let earlier_entries = || {
             self.votes.iter().filter_map(|(_, answer)| match answer {
-                // A witness that has restarted may know this very claim from its peers.
+                // A restarted witness may have received this same claim from its peers.
                 Answer::Taken(entry) if entry.attempt != self.claim.attempt => Some(entry),
                 _ => None,
             })
@@ -141,7 +144,7 @@
         State::Pending
     }
 
-    /// Returns the witnesses to ask (again) and the claim for them.
+    /// Returns the claim and the witnesses to send it to, if it is due to be sent.
     pub fn claim_to_send(&mut self, now: id::Time) -> Option<(Vec<id::Node>, Claim)> {
         if self
             .sent
@@ -160,7 +163,7 @@
         Some((missing, self.claim.clone()))
     }
 
-    /// Returns the record that tells the witnesses how the call ended.
+    /// Returns the entry that reports to the witnesses how the request ended.
     #[must_use]
     pub fn final_entry(&self, phase: Phase, answer: Option<(u16, String)>, now: id::Time) -> Entry {
         let (status, answer) = answer.unwrap_or_default();
--- a/crates/peridotdeck-core/src/claim/witness.rs
+++ b/crates/peridotdeck-core/src/claim/witness.rs
@@ -1,4 +1,4 @@
-//! The reservations that a node remembers as a witness.
+//! The reservations that a node stores as a witness.
 
 use std::time::Duration;
 
@@ -7,67 +7,72 @@
 use super::{WITNESSES_PER_KEY, choose_witnesses};
 use crate::id;
 
-/// Time for which a reservation is remembered; a key may be used again afterwards.
+/// Time for which a witness stores a reservation. Afterwards the key may be used again.
 pub const RETENTION: Duration = Duration::from_secs(900);
 
-/// Reservations that a witness holds at most; a full witness does not vote.
+/// Bounds the stored reservations. A full witness does not vote on new keys.
 const MAX_ENTRIES: usize = 100_000;
 
-/// Reservations in one page of a transfer.
-const PAGE: usize = 64;
+/// Bounds the reservations in one page of a transfer.
+const PAGE_ENTRIES: usize = 64;
 
-/// Time after which an unanswered transfer request is sent again.
-const RESEND: Duration = Duration::from_millis(500);
+/// Interval at which an unanswered transfer request is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug)]
 struct Record {
     entry: Entry,
-    at: id::Time,
-    /// Whether this witness granted the reservation itself. One that it learnt from a peer may be
-    /// the losing one of two, so it never counts as this witness's vote.
+    reserved_at: id::Time,
+    /// Whether this witness granted the reservation itself. A reservation received from a peer may
+    /// have lost against a competing one, so it never counts as this witness's vote.
     granted: bool,
 }
 
-/// Time after the start of a whole fleet in which its nodes do not yet vouch for each other, so
-/// that all of them see that everyone has started empty.
-const FLEET_START: Duration = Duration::from_secs(5);
+/// Delay after the start of a whole fleet before its nodes vouch for their records. Until then, each
+/// node can see that all others have started empty.
+const FLEET_START_DELAY: Duration = Duration::from_secs(5);
 
-/// A peer whose knowledge this witness needs.
+/// A peer whose reservations this witness still needs.
 #[derive(Clone, Debug)]
-struct Source {
+struct TransferSource {
     node: id::Node,
+    /// Last key received; the next page starts after it.
     after: String,
-    asked: Option<id::Time>,
-    /// It has told all that it knows, but has itself started empty and not yet learnt.
-    empty: bool,
+    requested_at: Option<id::Time>,
+    /// Whether the peer has sent all its records but cannot vouch for them, because it started empty
+    /// and its own transfer is incomplete.
+    started_empty: bool,
 }
 
-impl Source {
+impl TransferSource {
     fn new(node: id::Node) -> Self {
         Self {
             node,
             after: String::new(),
-            asked: None,
-            empty: false,
+            requested_at: None,
+            started_empty: false,
         }
     }
 }
 
-/// Reservations, sorted by key.
+/// The reservations that this node witnesses, sorted by key.
 #[derive(Clone, Debug)]
 pub struct Witness {
     me: id::Node,
     records: Vec<Record>,
     roster: id::Revision,
     members: Vec<Member>,
-    known: Vec<Member>,
-    sources: Vec<Source>,
-    since: id::Time,
+    /// VM list at the end of the last complete transfer.
+    synced_members: Vec<Member>,
+    sources: Vec<TransferSource>,
+    transfer_started: id::Time,
     vouches_from: Option<id::Time>,
 }
 
 impl Witness {
-    /// Starts empty; the ledger votes only after [`Witness::follow`] and the transfers that follow.
+    /// Creates a witness without reservations.
+    ///
+    /// It votes only after [`Witness::update_members`] and the transfers that it starts.
     #[must_use]
     pub fn new(me: id::Node) -> Self {
         Self {
@@ -75,32 +80,35 @@
             records: Vec::new(),
             roster: 0,
             members: Vec::new(),
-            known: Vec::new(),
+            synced_members: Vec::new(),
             sources: Vec::new(),
-            since: id::Time::ZERO,
+            transfer_started: id::Time::ZERO,
             vouches_from: None,
         }
     }
 
-    /// Returns the reservations held.
+    /// Returns the number of stored reservations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no reservation is held.
+    /// Returns whether no reservation is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns whether the ledger votes on every key that it witnesses.
+    /// Returns whether this node votes on every key of which it is a witness.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.roster > 0 && self.sources.is_empty()
     }
 
-    /// Follows a newer VM list; `transfer` tells whether keys may be new to this witness.
+    /// Adopts a newer VM list.
+    ///
+    /// With `transfer`, reservations are requested from peers again, because this node may witness
+    /// keys that are new to it.
     pub fn update_members(
         &mut self,
         roster: id::Revision,
@@ -110,115 +118,117 @@
     ) {
         self.roster = roster;
         self.members = members.to_vec();
-        let needed = sources(self.me, members);
+        let needed = find_sources(self.me, members);
         if transfer {
-            self.since = now;
-            self.sources = needed.into_iter().map(Source::new).collect();
+            self.transfer_started = now;
+            self.sources = needed.into_iter().map(TransferSource::new).collect();
         } else {
             self.sources.retain(|source| needed.contains(&source.node));
         }
         self.finish_transfer(now);
     }
 
-    /// Ends the transfer when all that can be learnt is known.
+    /// Ends the transfer once all peers have sent their reservations, or all have started empty.
     ///
-    /// Peers that have started empty are no help; if some peer has not, they may have forgotten a
-    /// reservation that nobody else holds, and the transfer waits until such a one has expired. If
-    /// all have, the whole fleet has started anew and there is nothing to wait for.
+    /// If only some peers have started empty, they may have lost a reservation that no other node
+    /// stores. The transfer then waits until any such reservation has expired. If all have started
+    /// empty, the whole fleet has restarted and there is nothing to wait for.
     fn finish_transfer(&mut self, now: id::Time) {
-        let learnt = self.sources.is_empty();
-        let needed = sources(self.me, &self.members).len();
-        let all_empty = self.sources.iter().all(|source| source.empty);
-        let fleet_starts = self.sources.len() == needed && all_empty;
-        if !learnt && !fleet_starts {
+        let all_received = self.sources.is_empty();
+        let needed = find_sources(self.me, &self.members).len();
+        let all_empty = self.sources.iter().all(|source| source.started_empty);
+        let fleet_started_empty = self.sources.len() == needed && all_empty;
+        if !all_received && !fleet_started_empty {
             return;
         }
         self.sources.clear();
-        self.known = self.members.clone();
-        let from = if needed > 0 && learnt {
+        self.synced_members = self.members.clone();
+        let from = if needed > 0 && all_received {
             now
         } else {
-            now + FLEET_START
+            now + FLEET_START_DELAY
         };
         self.vouches_from = Some(self.vouches_from.map_or(from, |old| old.min(from)));
     }
 
-    /// Returns whether this witness has forgotten nothing that it voted on.
+    /// Returns whether this witness still stores every reservation that it voted on.
     fn vouches(&self, now: id::Time) -> bool {
         self.vouches_from.is_some_and(|from| now >= from)
     }
 
-    /// Votes on a reservation.
+    /// Votes on a claim, and stores the reservation if it is granted.
     pub fn vote(&mut self, claim: &Claim, now: id::Time) -> Answer {
         if claim.roster != self.roster {
             return Answer::Stale;
         }
-        let at = match self.find(&claim.key) {
-            Ok(at) => at,
-            Err(at) => {
+        let index = match self.find(&claim.key) {
+            Ok(index) => index,
+            Err(index) => {
                 if !self.may_vote(&claim.key) || self.records.len() >= MAX_ENTRIES {
                     return Answer::Unready;
                 }
                 self.records.insert(
-                    at,
+                    index,
                     Record {
-                        entry: reserve(claim),
-                        at: now,
+                        entry: new_entry(claim),
+                        reserved_at: now,
                         granted: true,
                     },
                 );
                 return Answer::Granted;
             }
         };
-        let record = &mut self.records[at];
+        let record = &mut self.records[index];
         if record.entry.phase == Phase::NotRun {
             if record.entry.attempt == claim.attempt {
-                // A late copy of a claim that its holder has given up must not reserve again.
+                // A delayed copy of a claim that its sender has released must not reserve again.
                 return Answer::Stale;
             }
             *record = Record {
-                entry: reserve(claim),
-                at: now,
+                entry: new_entry(claim),
+                reserved_at: now,
                 granted: true,
             };
             return Answer::Granted;
         }
-        let mine = record.granted && record.entry.attempt == claim.attempt;
-        if mine && record.entry.phase == Phase::Running {
+        let own_vote = record.granted && record.entry.attempt == claim.attempt;
+        if own_vote && record.entry.phase == Phase::Running {
             return Answer::Granted;
         }
-        Answer::Taken(self.present(at, now))
+        Answer::Taken(self.entry_at(index, now))
     }
 
-    /// A key is safe to vote on if this node was its witness before the transfer began, or the
-    /// transfer is complete.
+    /// Returns whether it is safe to vote on a key.
+    ///
+    /// It is if the transfer is complete, or if this node was a witness of the key before the
+    /// transfer began.
     fn may_vote(&self, key: &str) -> bool {
-        self.is_ready() || choose_witnesses(key, &self.known).contains(&self.me)
+        self.is_ready() || choose_witnesses(key, &self.synced_members).contains(&self.me)
     }
 
-    /// Learns how a reserved call ended, or of a reservation that a peer holds.
+    /// Merges the end of a request that reserved a key, or a reservation that a peer stores.
     pub fn merge(&mut self, entry: &Entry, now: id::Time) {
-        let made = now.saturating_sub(Duration::from_millis(entry.age_ms.into()));
+        let reserved = now.saturating_sub(Duration::from_millis(entry.age_ms.into()));
         match self.find(&entry.key) {
-            Ok(at) => {
-                let record = &mut self.records[at];
-                let same = record.entry.attempt == entry.attempt;
-                if (same && rank_of(entry.phase) > rank_of(record.entry.phase))
-                    || (!same && supersedes(entry.phase, record.entry.phase))
+            Ok(index) => {
+                let record = &mut self.records[index];
+                let same_claim = record.entry.attempt == entry.attempt;
+                if (same_claim && phase_order(entry.phase) > phase_order(record.entry.phase))
+                    || (!same_claim && supersedes(entry.phase, record.entry.phase))
                 {
                     *record = Record {
                         entry: entry.clone(),
-                        at: made,
+                        reserved_at: reserved,
                         granted: false,
                     };
                 }
             }
-            Err(at) if self.records.len() < MAX_ENTRIES => {
+            Err(index) if self.records.len() < MAX_ENTRIES => {
                 self.records.insert(
-                    at,
+                    index,
                     Record {
                         entry: entry.clone(),
-                        at: made,
+                        reserved_at: reserved,
                         granted: false,
                     },
                 );
@@ -227,23 +237,28 @@
         }
     }
 
-    /// Answers a peer's transfer request with one page of what that peer must know.
+    /// Returns one page of the reservations that a peer needs as a witness.
+    ///
+    /// Returns `None` if this node's VM list is older than the peer's.
     #[must_use]
     pub fn build_page(&self, peer: id::Node, sync: &Sync, now: id::Time) -> Option<Claims> {
         if self.roster < sync.roster {
-            // This node would still vote under the older list; the peer asks again.
+            // This node would still vote under the older list. The peer sends its request again.
             return None;
         }
         let start = self
             .records
             .partition_point(|record| record.entry.key <= sync.after);
-        let wanted = (start..self.records.len()).filter(|&at| {
-            choose_witnesses(&self.records[at].entry.key, &self.members).contains(&peer)
+        let requested = (start..self.records.len()).filter(|&index| {
+            choose_witnesses(&self.records[index].entry.key, &self.members).contains(&peer)
         });
-        let mut page: Vec<usize> = wanted.take(PAGE + 1).collect();
-        let last = page.len() <= PAGE;
-        page.truncate(PAGE);
-        let entries = page.into_iter().map(|at| self.present(at, now)).collect();
+        let mut page: Vec<usize> = requested.take(PAGE_ENTRIES + 1).collect();
+        let last = page.len() <= PAGE_ENTRIES;
+        page.truncate(PAGE_ENTRIES);
+        let entries = page
+            .into_iter()
+            .map(|index| self.entry_at(index, now))
+            .collect();
         Some(Claims {
             roster: sync.roster,
             entries,
@@ -252,7 +267,7 @@
         })
     }
 
-    /// Takes one page of a transfer.
+    /// Merges one page of a transfer.
     pub fn receive_page(&mut self, peer: id::Node, claims: &Claims, now: id::Time) {
         for entry in &claims.entries {
             self.merge(entry, now);
@@ -265,29 +280,31 @@
         };
         match (claims.last, claims.vouches, claims.entries.last()) {
             (true, true, _) => self.sources.retain(|source| source.node != peer),
-            (true, false, _) => (source.empty, source.after) = (true, String::new()),
-            (false, _, Some(entry)) => (source.after, source.asked) = (entry.key.clone(), None),
+            (true, false, _) => (source.started_empty, source.after) = (true, String::new()),
+            (false, _, Some(entry)) => {
+                (source.after, source.requested_at) = (entry.key.clone(), None)
+            }
             (false, _, None) => {}
         }
         self.finish_transfer(now);
     }
 
-    /// Forgets old reservations and returns the transfer requests to send.
+    /// Removes expired reservations, and returns the transfer requests to send.
     pub fn tick(&mut self, now: id::Time) -> Vec<(id::Node, Sync)> {
         self.records
-            .retain(|record| now.saturating_sub(record.at) < RETENTION);
-        if now.saturating_sub(self.since) >= RETENTION && !self.sources.is_empty() {
-            // Whatever the silent peers knew is older than any reservation lives.
+            .retain(|record| now.saturating_sub(record.reserved_at) < RETENTION);
+        if now.saturating_sub(self.transfer_started) >= RETENTION && !self.sources.is_empty() {
+            // The reservations that the missing peers may have stored have all expired.
             self.sources.clear();
             self.finish_transfer(now);
         }
         let mut requests = Vec::new();
         for source in &mut self.sources {
             if source
-                .asked
-                .is_none_or(|asked| now.saturating_sub(asked) >= RESEND)
+                .requested_at
+                .is_none_or(|sent| now.saturating_sub(sent) >= RESEND_INTERVAL)
             {
-                source.asked = Some(now);
+                source.requested_at = Some(now);
                 requests.push((
                     source.node,
                     Sync {
@@ -300,11 +317,11 @@
         requests
     }
 
-    /// Returns all reservations, for a planned leave.
+    /// Returns all reservations, which a draining node sends to the remaining witnesses.
     #[must_use]
     pub fn entries(&self, now: id::Time) -> Vec<Entry> {
         (0..self.records.len())
-            .map(|at| self.present(at, now))
+            .map(|index| self.entry_at(index, now))
             .collect()
     }
 
@@ -313,9 +330,10 @@
             .binary_search_by(|record| record.entry.key.as_str().cmp(key))
     }
 
-    fn present(&self, at: usize, now: id::Time) -> Entry {
-        let record = &self.records[at];
-        let age = now.saturating_sub(record.at).as_millis();
+    /// Returns a stored entry with its current age.
+    fn entry_at(&self, index: usize, now: id::Time) -> Entry {
+        let record = &self.records[index];
+        let age = now.saturating_sub(record.reserved_at).as_millis();
         Entry {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
             ..record.entry.clone()
@@ -323,23 +341,24 @@
     }
 }
 
-/// The peers that may share a key with this node: with three data centres or more, the witnesses
-/// of a key stand in different ones.
-fn sources(me: id::Node, members: &[Member]) -> Vec<id::Node> {
-    let place = members
+/// Returns the peers that may be witnesses of a key together with this node.
+///
+/// With at least [`WITNESSES_PER_KEY`] data centres, the witnesses of a key are in different ones.
+fn find_sources(me: id::Node, members: &[Member]) -> Vec<id::Node> {
+    let data_centre = members
         .iter()
         .find(|member| member.node == me)
         .map(|member| &member.place);
-    let mut places: Vec<&str> = members.iter().map(|member| member.place.as_str()).collect();
-    places.sort_unstable();
-    places.dedup();
-    let spread = places.len() >= WITNESSES_PER_KEY;
+    let mut data_centres: Vec<&str> = members.iter().map(|member| member.place.as_str()).collect();
+    data_centres.sort_unstable();
+    data_centres.dedup();
+    let distinct = data_centres.len() >= WITNESSES_PER_KEY;
     let others = members.iter().filter(|member| member.node != me);
-    let sharing = others.filter(|member| !spread || Some(&member.place) != place);
-    sharing.map(|member| member.node).collect()
+    let sources = others.filter(|member| !distinct || Some(&member.place) != data_centre);
+    sources.map(|member| member.node).collect()
 }
 
-fn reserve(claim: &Claim) -> Entry {
+fn new_entry(claim: &Claim) -> Entry {
     Entry {
         key: claim.key.clone(),
         digest: claim.digest,
@@ -351,8 +370,8 @@
     }
 }
 
-/// Later phases of one reservation replace earlier ones.
-fn rank_of(phase: Phase) -> u8 {
+/// Returns the order of phases: a later phase of one reservation replaces an earlier one.
+fn phase_order(phase: Phase) -> u8 {
     match phase {
         Phase::Running => 0,
         Phase::NotRun | Phase::MayHaveRun => 1,
@@ -360,11 +379,14 @@
     }
 }
 
-/// Of two reservations of one key, the one that ran is the truth, and one that did not run is none.
+/// Returns whether a reservation in phase `new` replaces another reservation of the same key.
+///
+/// The reservation whose request ran is authoritative. One whose request did not run never replaces
+/// another, and any other replaces it.
 fn supersedes(new: Phase, old: Phase) -> bool {
     match (new, old) {
         (Phase::NotRun, _) => false,
         (_, Phase::NotRun) | (Phase::Ran | Phase::MayHaveRun, Phase::Running) => true,
-        (new, old) => rank_of(new) > rank_of(old),
+        (new, old) => phase_order(new) > phase_order(old),
     }
 }
--- a/crates/peridotdeck-core/src/flight.rs
+++ b/crates/peridotdeck-core/src/flight.rs
@@ -1,57 +1,60 @@
-//! The requests that callers gave to this node.
+//! The requests that callers sent to this node.
 //!
-//! A flight moves through stages: it may reserve its idempotency key, asks the owner of a pool for a
-//! slot, runs at an endpoint, and rests before another try. [`Table`] holds all flights and makes
-//! every transition; each flight ends exactly once, by an answer, a refusal or the caller's leave.
+//! A flight is one such request. It may first reserve its idempotency key. Then it requests a slot
+//! from the owner of a pool, runs at an endpoint, and backs off before a retry. [`Table`] holds all
+//! flights and makes every transition. Each flight ends exactly once: with an answer, with a
+//! refusal, or because the caller disconnected.
 
 mod candidate;
 mod context;
+mod outbox;
 mod table;
 
 pub use candidate::{Candidate, rank_candidates};
-pub use context::{Context, Outbox};
+pub use context::Context;
+pub use outbox::Outbox;
 pub use table::{Counts, Table};
 
 use std::time::Duration;
 
 use crate::{claim, id, request};
 
-/// Where a request stands.
+/// Stage of a request.
 #[derive(Clone, Debug)]
 pub enum Stage {
     /// Waits until the node has proved that its view is current.
     Suspended,
     /// Reserves its idempotency key.
     Claiming,
-    /// Waits for a slot.
+    /// Waits for the owner of a pool to grant a slot.
     RequestingSlot(SlotRequest),
     /// Runs at an endpoint.
     Running(Running),
-    /// Waits before it asks again.
+    /// Waits before it requests a slot again.
     BackingOff {
-        /// End of the rest.
+        /// End of the wait.
         until: id::Time,
     },
 }
 
-/// A request for a slot.
+/// A request for a slot, sent to the owner of a pool.
 #[derive(Clone, Debug)]
 pub struct SlotRequest {
-    /// The attempt.
+    /// Attempt that the slot is for.
     pub attempt: id::Attempt,
-    /// Pool that is asked.
+    /// Pool of the slot.
     pub pool: id::Pool,
-    /// Node that is asked.
+    /// Node that the request was sent to.
     pub owner: id::Node,
-    /// When it was asked last.
+    /// Time at which the request was last sent.
     pub sent: id::Time,
-    /// Asks without any answer.
+    /// Number of times it was sent since the owner last answered.
     pub unanswered: u32,
-    /// Whether the owner has said that the request waits.
+    /// Whether the owner has confirmed that the request is in its queue.
     pub queued: bool,
 }
 
-/// A running attempt.
+/// An attempt that runs at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Running {
     /// The attempt.
@@ -60,41 +63,41 @@
     pub pool: id::Pool,
     /// The endpoint.
     pub endpoint: id::Endpoint,
-    /// Owner that granted the slot; none if the owner did not answer and the node took its own
-    /// small share.
+    /// Owner that granted the slot. `None` if the owner did not answer and this node used its own
+    /// small share of the endpoint.
     pub owner: Option<id::Node>,
 }
 
-/// One request and what has become of it.
+/// One request and its progress.
 #[derive(Clone, Debug)]
 pub struct Flight {
     /// The request.
     pub request: id::Request,
-    /// What the caller wants.
+    /// Properties of the request that decisions depend on.
     pub call: request::Call,
-    /// When it arrived, or when the answer that had begun was interrupted: the time from which the
-    /// wait counts against the class's patience.
+    /// Time from which the wait counts against the class's queue timeout: the arrival, or the
+    /// interruption of an answer that had begun.
     pub waiting_since: id::Time,
-    /// Where it stands.
+    /// Current stage.
     pub stage: Stage,
     /// Reservation of its idempotency key.
     pub reservation: Option<claim::Reservation>,
-    /// Failed attempts.
+    /// Number of failed attempts.
     pub failures: u32,
-    /// Endpoints that failed it.
+    /// Endpoints at which an attempt failed.
     pub failed_endpoints: Vec<id::Endpoint>,
-    /// Pools that refused it.
+    /// Pools that refused the request.
     pub refused_by: Vec<id::Pool>,
     /// Output tokens that the caller has received.
     pub delivered_tokens: u32,
-    /// Whether an endpoint may have run it.
+    /// Whether an endpoint may have run the request.
     pub may_have_run: bool,
-    /// Whether the caller has gone, while the call must be seen through.
+    /// Whether the caller has disconnected while the request must still run to its end.
     pub orphaned: bool,
 }
 
 impl Flight {
-    /// Starts a flight.
+    /// Creates a suspended flight that arrives at `now`.
     #[must_use]
     pub fn new(request: id::Request, call: request::Call, now: id::Time) -> Self {
         Self {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Returns the attempt that asks or runs.
+    /// Returns the attempt that waits for a slot or runs.
     #[must_use]
     pub fn attempt(&self) -> Option<id::Attempt> {
         match &self.stage {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Returns the time for which the request has waited.
+    /// Returns the time that counts against the queue timeout so far.
     #[must_use]
     pub fn waited(&self, now: id::Time) -> Duration {
         now.saturating_sub(self.waiting_since)
--- a/crates/peridotdeck-core/src/flight/candidate.rs
+++ b/crates/peridotdeck-core/src/flight/candidate.rs
@@ -1,4 +1,4 @@
-//! Which pools may take a request, best first.
+//! Ranking of the pools that may take a request.
 
 use std::time::Duration;
 
@@ -7,33 +7,34 @@
 use super::{Context, Flight};
 use crate::{id, member::View, pool::patience, request::Call};
 
-/// Delay in milliseconds of a pool in the own region that is not the nearest.
+/// Assumed network delay to another data centre of this node's region.
 const REGION_PATH_MS: u64 = 2;
 
-/// Delay in milliseconds of a pool in another region.
+/// Assumed network delay to a data centre of another region.
 const REMOTE_PATH_MS: u64 = 40;
 
-/// A pool that may take a request, and what speaks for and against it.
+/// A pool that may take a request, with its sort keys. A smaller candidate is better.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Candidate {
-    /// Whether the class's promise would be missed there.
-    pub misses_target: bool,
-    /// Delay of the path in milliseconds.
+    /// Whether the expected wait and delay exceed what is left of the class's queue timeout. Always
+    /// `false` for bulk.
+    pub exceeds_timeout: bool,
+    /// Assumed network delay in milliseconds.
     pub path_ms: u64,
     /// Expected wait for a slot in milliseconds.
     pub wait_ms: u64,
-    /// Slots in use rather than free, so that the freest pool comes first.
+    /// `u32::MAX` minus the free slots, so that the pool with the most free slots comes first.
     pub inverted_free_slots: u32,
-    /// The pool.
+    /// Id of the pool.
     pub pool: id::Pool,
-    /// Node that schedules it.
+    /// Node that schedules the pool.
     pub owner: id::Node,
 }
 
 /// Returns the pools that may take a request, best first.
 ///
-/// The nearest pools come first; a farther one is better only if the nearer ones cannot keep the
-/// class's promise, because paths between regions are slow and paid by volume.
+/// Nearer pools come first, because paths between regions are slow and billed by volume. A farther
+/// pool is better only if the nearer ones cannot grant a slot within the class's queue timeout.
 #[must_use]
 pub fn rank_candidates(
     call: &Call,
@@ -56,10 +57,10 @@
             let path_ms = path_ms(pool, view.place(), snapshot);
             let summary = view.summary(pool.id, now);
             let wait_ms = summary.map_or(0, |summary| u64::from(summary.wait_ms));
-            let misses_target = !class.bulk && wait_ms + path_ms > slack_ms;
+            let exceeds_timeout = !class.bulk && wait_ms + path_ms > slack_ms;
             let inverted_free_slots = u32::MAX - summary.map_or(0, |summary| summary.free);
             Some(Candidate {
-                misses_target,
+                exceeds_timeout,
                 path_ms,
                 wait_ms,
                 inverted_free_slots,
@@ -72,10 +73,10 @@
     candidates
 }
 
-fn path_ms(pool: &Pool, here: &str, snapshot: &Snapshot) -> u64 {
-    if pool.place == here {
+fn path_ms(pool: &Pool, local: &str, snapshot: &Snapshot) -> u64 {
+    if pool.place == local {
         0
-    } else if snapshot.same_region(&pool.place, here) {
+    } else if snapshot.same_region(&pool.place, local) {
         REGION_PATH_MS
     } else {
         REMOTE_PATH_MS
@@ -86,13 +87,13 @@
     let endpoints = pool
         .endpoints
         .iter()
-        .filter_map(|&number| snapshot.endpoint(number));
+        .filter_map(|&id| snapshot.endpoint(id));
     endpoints
         .into_iter()
         .any(|endpoint| snapshot.is_open(endpoint))
 }
 
-/// Chooses the pool to ask among those that have not refused the request.
+/// Returns the best pool that has not refused the request, with its owner.
 pub(super) fn choose_pool(flight: &Flight, context: &Context<'_>) -> Option<(id::Pool, id::Node)> {
     let waited = flight.waited(context.now);
     rank_candidates(
--- a/crates/peridotdeck-core/src/flight/context.rs
+++ b/crates/peridotdeck-core/src/flight/context.rs
@@ -1,23 +1,22 @@
-//! What transitions look at and what they produce.
+//! Inputs of a transition other than the request table.
 
 use std::sync::Arc;
 
 use peridotdeck_policy::Snapshot;
-use peridotdeck_wire::Body;
 use rand::rngs::SmallRng;
 
-use crate::{Action, id, member::View};
+use crate::{id, member::View};
 
-/// What a transition looks at besides the flights.
+/// State of the node that a transition reads.
 #[derive(Debug)]
 pub struct Context<'a> {
     /// Time of the event.
     pub now: id::Time,
-    /// Peers and owners.
+    /// Known peers and the owners of pools.
     pub view: &'a View,
     /// Configuration in force.
     pub snapshot: &'a Arc<Snapshot>,
-    /// Seeded random numbers.
+    /// Seeded random number generator.
     pub rng: &'a mut SmallRng,
 }
 
@@ -30,19 +29,3 @@
             .and_then(|pool| self.view.owner(pool))
     }
 }
-
-/// What transitions produce.
-#[derive(Debug, Default)]
-pub struct Outbox {
-    /// Requests to the shell.
-    pub actions: Vec<Action>,
-    /// Messages to nodes, this one included.
-    pub messages: Vec<(id::Node, Body)>,
-}
-
-impl Outbox {
-    /// Adds a message.
-    pub fn send(&mut self, node: id::Node, body: impl Into<Body>) {
-        self.messages.push((node, body.into()));
-    }
-}
--- a/crates/peridotdeck-core/src/flight/table.rs
+++ b/crates/peridotdeck-core/src/flight/table.rs
@@ -1,7 +1,8 @@
-//! All flights of a node and every transition that they make.
+//! The table of a node's flights, with every transition between their stages.
 //!
-//! The transitions stand in one module a stage: [`claiming`], [`asking`], [`running`]; [`upkeep`]
-//! is what time and peers bring.
+//! Each stage has a module with its transitions: [`reservation`] for idempotency keys,
+//! [`slot_request`] for requests to pool owners, and [`attempt`] for runs at endpoints.
+//! [`maintenance`] holds the periodic work.
 
 mod attempt;
 mod maintenance;
@@ -20,113 +21,119 @@
     size::Estimate,
 };
 
-/// Time between two asks of a request that waits at its owner.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// Interval at which a request in an owner's queue repeats its slot request. Refusals that may pass
+/// soon also carry it as `retry_after`.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Nodes that may use one endpoint without its owner's grant, one request each.
-const SHARERS: usize = 2;
+/// Bounds the nodes that may use one endpoint without its owner's grant, one request each.
+const MAX_DIRECT_NODES: usize = 2;
 
-/// First rest before another try; it doubles with each failure.
-const REST: Duration = Duration::from_millis(100);
+/// Delay before a retry. It doubles with each failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Counts that prove the promises.
+/// Counters of requests and attempts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that arrived.
     pub arrived: u64,
-    /// Requests that ended, by any end.
+    /// Requests that ended for any reason, refusals at admission included.
     pub ended: u64,
-    /// Attempts repeated after a failure.
+    /// Retries after a failed attempt.
     pub retries: u64,
     /// Attempts sent without an owner's grant.
     pub direct: u64,
 }
 
-/// Requests that an endpoint has finished for this node since it last failed.
+/// Requests that an endpoint finished for this node since its last failure.
 #[derive(Clone, Copy, Debug)]
-struct Proof {
+struct Successes {
     endpoint: id::Endpoint,
     finished: u32,
+    /// Time of the latest success.
     last: id::Time,
 }
 
+/// The end of a reservation, which is still being announced to the key's witnesses.
 #[derive(Clone, Debug)]
 struct Settlement {
     witnesses: Vec<id::Node>,
     settle: Settle,
-    copies: u32,
-    due: id::Time,
+    copies_sent: u32,
+    next_send: id::Time,
 }
 
+/// Schedule of the reports to a pool's owner about the slots that this node holds.
 #[derive(Clone, Debug)]
-struct Statement {
+struct HoldingReport {
     pool: id::Pool,
     owner: id::Node,
-    until: id::Time,
-    due: id::Time,
+    expires: id::Time,
+    next_send: id::Time,
 }
 
-/// Flights, sorted by request, with the limits and estimates that they share.
+/// All flights, sorted by request id, with the limits and estimates that they share.
 #[derive(Clone, Debug)]
 pub struct Table {
     flights: Vec<Flight>,
     limits: limit::Table,
     retries: limit::Retries,
-    sizes: Estimate,
+    output_sizes: Estimate,
     quarantine: poison::List,
     settlements: Vec<Settlement>,
-    statements: Vec<Statement>,
-    proofs: Vec<Proof>,
-    attempts: id::Counter,
+    holding_reports: Vec<HoldingReport>,
+    successes: Vec<Successes>,
+    attempt_ids: id::Counter,
     counts: Counts,
 }
 
 impl Table {
-    /// Starts empty.
+    /// Creates an empty table that takes the ids of attempts from `attempt_ids`.
     #[must_use]
-    pub fn new(attempts: id::Counter) -> Self {
+    pub fn new(attempt_ids: id::Counter) -> Self {
         Self {
             flights: Vec::new(),
             limits: limit::Table::default(),
             retries: limit::Retries::default(),
-            sizes: Estimate::default(),
+            output_sizes: Estimate::default(),
             quarantine: poison::List::default(),
             settlements: Vec::new(),
-            statements: Vec::new(),
-            proofs: Vec::new(),
-            attempts,
+            holding_reports: Vec::new(),
+            successes: Vec::new(),
+            attempt_ids,
             counts: Counts::default(),
         }
     }
 
-    /// Returns the flights.
+    /// Returns the flights, sorted by request id.
     #[must_use]
     pub fn flights(&self) -> &[Flight] {
         &self.flights
     }
 
-    /// Returns the counts that prove the promises.
+    /// Returns the counters of requests and attempts.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns whether nothing is left to do for a planned leave.
+    /// Returns whether a draining node may stop: no flight and no settlement is left.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.flights.is_empty() && self.settlements.is_empty()
     }
 
-    /// Returns the requests that crash endpoints.
+    /// Returns the requests suspected of crashing endpoints.
     #[must_use]
     pub fn quarantine(&self) -> &poison::List {
         &self.quarantine
     }
 
-    /// Admits or refuses a new request; a parked one waits for [`Table::resume`].
+    /// Admits or refuses a new request.
+    ///
+    /// A `suspended` request waits for [`Table::resume`].
     ///
     /// # Panics
-    /// If the request is known already, which is a fault of this program.
+    /// Panics if the table already holds the request, which is a bug.
     pub fn admit(
         &mut self,
         request: id::Request,
@@ -151,7 +158,7 @@
             self.flights
                 .get(index)
                 .is_none_or(|flight| flight.request != request),
-            "request {request} arrives twice"
+            "request {request} was admitted twice"
         );
         self.flights
             .insert(index, Flight::new(request, call, context.now));
@@ -185,7 +192,7 @@
         if let (Some(claim), None) = (&flight.call.claim, &flight.reservation) {
             let witnesses = claim::choose_witnesses(&claim.key, context.view.members());
             if witnesses.is_empty() {
-                let refusal = Refusal::not_run(Cause::NoWitness, Some(KEEPALIVE));
+                let refusal = Refusal::not_run(Cause::NoWitness, Some(KEEPALIVE_INTERVAL));
                 return self.refuse(index, refusal, out);
             }
             let roster = context.view.roster();
@@ -197,12 +204,12 @@
                 context.now,
             ));
             flight.stage = Stage::Claiming;
-            return self.advance_claim(index, context, out);
+            return self.advance_reservation(index, context, out);
         }
-        self.ask(index, context, out);
+        self.request_slot(index, context, out);
     }
 
-    /// Lets parked requests go on.
+    /// Continues all suspended requests.
     pub fn resume(&mut self, context: &mut Context<'_>, out: &mut Outbox) {
         for request in self.requests(|flight| matches!(flight.stage, Stage::Suspended)) {
             if let Ok(index) = self.find(request) {
@@ -211,14 +218,16 @@
         }
     }
 
-    /// Withdraws every ask after a pause: grants that were made meanwhile are not used.
+    /// Suspends requests that wait for a slot or a retry, after the process was paused.
+    ///
+    /// Grants that owners made during the pause are thereby returned unused.
     pub fn suspend(&mut self) {
         for flight in &mut self.flights {
-            let won = flight.reservation.is_none() || !matches!(flight.stage, Stage::Claiming);
+            let reserved = flight.reservation.is_none() || !matches!(flight.stage, Stage::Claiming);
             if matches!(
                 flight.stage,
                 Stage::RequestingSlot(_) | Stage::BackingOff { .. }
-            ) && won
+            ) && reserved
             {
                 flight.stage = Stage::Suspended;
             }
@@ -245,7 +254,12 @@
     }
 }
 
-fn done(attempt: id::Attempt, pool: id::Pool, endpoint: id::Endpoint, outcome: Outcome) -> Done {
+fn done_message(
+    attempt: id::Attempt,
+    pool: id::Pool,
+    endpoint: id::Endpoint,
+    outcome: Outcome,
+) -> Done {
     Done {
         attempt,
         pool,
@@ -257,7 +271,7 @@
     }
 }
 
-fn pool_of(snapshot: &Snapshot, endpoint: id::Endpoint) -> id::Pool {
+fn find_pool(snapshot: &Snapshot, endpoint: id::Endpoint) -> id::Pool {
     let holds = |pool: &&Pool| pool.endpoints.binary_search(&endpoint).is_ok();
     snapshot
         .pools()
@@ -266,7 +280,7 @@
         .map_or(0, |pool| pool.id)
 }
 
-fn broadcast(strike: &Strike, context: &Context<'_>, out: &mut Outbox) {
+fn broadcast_strike(strike: &Strike, context: &Context<'_>, out: &mut Outbox) {
     for member in context.view.members() {
         if member.node != context.view.me() && context.view.is_live(member.node, context.now) {
             out.send(member.node, strike.clone());
--- a/crates/peridotdeck-core/src/flight/table/attempt.rs
+++ b/crates/peridotdeck-core/src/flight/table/attempt.rs
@@ -1,9 +1,11 @@
-//! Attempts at endpoints: their ends, retries, and the end of a flight.
+//! Ends of attempts at endpoints, retries, and the removal of flights.
 
 use peridotdeck_policy::Class;
 use peridotdeck_wire::{Done, Outcome, Phase, Strike};
 
-use super::{KEEPALIVE, Proof, REST, Table, broadcast, done};
+use super::{
+    INITIAL_BACKOFF, KEEPALIVE_INTERVAL, Successes, Table, broadcast_strike, done_message,
+};
 use crate::{
     Action, Verdict,
     event::End,
@@ -13,23 +15,23 @@
     request::{Cause, Refusal},
 };
 
-/// Failed attempts after which an interactive request is given up.
+/// Bounds the failed attempts of an interactive request that may be followed by a retry.
 const MAX_FAILURES: u32 = 4;
 
 impl Table {
-    /// The owner takes a slot back from a bulk attempt.
+    /// Handles an owner's preemption of a bulk attempt.
     pub fn handle_preemption(&mut self, attempt: id::Attempt, out: &mut Outbox) {
         let Some(index) = self.find_attempt(attempt) else {
             return;
         };
         let flight = &self.flights[index];
-        // What cannot go on elsewhere would be generated twice, so it keeps its slot.
+        // An answer that cannot resume elsewhere would be generated twice, so it keeps its slot.
         if flight.call.resumable && matches!(flight.stage, Stage::Running(_)) {
             out.actions.push(Action::Stop { attempt });
         }
     }
 
-    /// An attempt has ended at its endpoint.
+    /// Handles the end of an attempt at its endpoint.
     pub fn handle_attempt_end(
         &mut self,
         attempt: id::Attempt,
@@ -51,20 +53,21 @@
         }
         match end.outcome {
             Outcome::Finished => self.finish(index, running.endpoint, end, context, out),
-            Outcome::Cancelled => self.cancel(index, context.now),
+            Outcome::Cancelled => self.end_cancelled(index, context.now),
             Outcome::Preempted => {
                 self.flights[index].may_have_run = true;
-                self.ask(index, context, out);
+                self.request_slot(index, context, out);
             }
             Outcome::Refused | Outcome::Unreachable => {
-                self.retry(index, running.endpoint, context, out)
+                self.retry_or_refuse(index, running.endpoint, context, out);
             }
             Outcome::Broken | Outcome::Silent | Outcome::Crossed => {
-                self.fail(index, &running, end.outcome, context, out);
+                self.handle_failure(index, &running, end.outcome, context, out);
             }
         }
     }
 
+    /// Reports the end of an attempt to the owner that granted its slot and to the current owner.
     pub(super) fn return_slot(
         running: &Running,
         end: &End,
@@ -75,7 +78,7 @@
             tokens: end.tokens,
             first_ms: end.first.map_or(0, |first| first.as_millis().max(1) as u32),
             gap_us: end.gap().map_or(0, |gap| gap.as_micros() as u32),
-            ..done(running.attempt, running.pool, running.endpoint, end.outcome)
+            ..done_message(running.attempt, running.pool, running.endpoint, end.outcome)
         };
         let current = context.owner(running.pool);
         if let Some(owner) = running.owner {
@@ -88,6 +91,7 @@
         }
     }
 
+    /// Ends a flight whose answer is complete.
     pub(super) fn finish(
         &mut self,
         index: usize,
@@ -98,11 +102,12 @@
     ) {
         let flight = &self.flights[index];
         let (call, total) = (&flight.call, flight.delivered_tokens);
-        self.sizes.learn(&call.class, &call.organisation, total);
+        self.output_sizes
+            .learn(&call.class, &call.organisation, total);
         if self.quarantine.strikes(call.fingerprint) > 0 {
             let fingerprint = call.fingerprint;
             self.quarantine.clear(fingerprint);
-            broadcast(
+            broadcast_strike(
                 &Strike {
                     fingerprint,
                     endpoint,
@@ -112,19 +117,19 @@
                 out,
             );
         }
-        self.prove(endpoint, context.now);
-        self.settle(index, Phase::Ran, end.answer, context.now);
-        self.end(index);
+        self.record_success(endpoint, context.now);
+        self.settle_reservation(index, Phase::Ran, end.answer, context.now);
+        self.remove(index);
     }
 
-    pub(super) fn prove(&mut self, endpoint: id::Endpoint, now: id::Time) {
+    pub(super) fn record_success(&mut self, endpoint: id::Endpoint, now: id::Time) {
         match self
-            .proofs
+            .successes
             .iter_mut()
-            .find(|proof| proof.endpoint == endpoint)
+            .find(|record| record.endpoint == endpoint)
         {
-            Some(proof) => (proof.finished, proof.last) = (proof.finished + 1, now),
-            None => self.proofs.push(Proof {
+            Some(record) => (record.finished, record.last) = (record.finished + 1, now),
+            None => self.successes.push(Successes {
                 endpoint,
                 finished: 1,
                 last: now,
@@ -132,19 +137,20 @@
         }
     }
 
-    pub(super) fn disprove(&mut self, endpoint: id::Endpoint) {
-        self.proofs.retain(|proof| proof.endpoint != endpoint);
+    pub(super) fn clear_successes(&mut self, endpoint: id::Endpoint) {
+        self.successes.retain(|record| record.endpoint != endpoint);
     }
 
-    pub(super) fn cancel(&mut self, index: usize, now: id::Time) {
+    /// Ends a flight whose attempt was stopped because the caller disconnected.
+    pub(super) fn end_cancelled(&mut self, index: usize, now: id::Time) {
         if self.flights[index].reservation.is_some() {
-            self.settle(index, Phase::MayHaveRun, None, now);
+            self.settle_reservation(index, Phase::MayHaveRun, None, now);
         }
-        self.end(index);
+        self.remove(index);
     }
 
-    /// The endpoint provably did not run the attempt, so any request may try again.
-    pub(super) fn retry(
+    /// Retries a failed attempt, or refuses the request if no retry is left.
+    pub(super) fn retry_or_refuse(
         &mut self,
         index: usize,
         endpoint: id::Endpoint,
@@ -154,31 +160,36 @@
         let flight = &mut self.flights[index];
         flight.failures += 1;
         flight.failed_endpoints.push(endpoint);
-        self.disprove(endpoint);
+        self.clear_successes(endpoint);
         let flight = &self.flights[index];
         let class = context.snapshot.class(&flight.call.class);
-        if self.may_retry(index, class) {
+        if self.spend_retry(index, class) {
             self.counts.retries += 1;
-            return self.rest(index, REST / 4, context);
+            return self.back_off(index, INITIAL_BACKOFF / 4, context);
         }
         let verdict = self.verdict(index);
         let refusal = Refusal {
             verdict,
             cause: Cause::EndpointFailed,
-            retry_after: Some(KEEPALIVE),
+            retry_after: Some(KEEPALIVE_INTERVAL),
         };
-        self.conclude(index, refusal, context.now, out);
+        self.settle_and_refuse(index, refusal, context.now, out);
     }
 
-    /// Bulk must finish, so only its pace is limited; interactive work has a budget.
-    pub(super) fn may_retry(&mut self, index: usize, class: Option<&Class>) -> bool {
+    /// Returns whether the request may be retried, and spends one retry of its class's budget.
+    ///
+    /// Bulk must finish, so only the rate of its retries is limited, by backoff.
+    pub(super) fn spend_retry(&mut self, index: usize, class: Option<&Class>) -> bool {
         let flight = &self.flights[index];
         let bulk = class.is_some_and(|class| class.bulk);
         bulk || (flight.failures <= MAX_FAILURES && self.retries.spend(&flight.call.class))
     }
 
-    /// The attempt may have run: repeatable work goes on elsewhere, the rest is told so.
-    pub(super) fn fail(
+    /// Handles a failed attempt that may have run.
+    ///
+    /// Repeatable requests continue at another endpoint. All others are refused with a verdict that
+    /// says so.
+    pub(super) fn handle_failure(
         &mut self,
         index: usize,
         running: &Running,
@@ -195,7 +206,7 @@
                 .strike(fingerprint, running.endpoint, context.now)
         {
             let endpoint = running.endpoint;
-            broadcast(
+            broadcast_strike(
                 &Strike {
                     fingerprint,
                     endpoint,
@@ -209,18 +220,20 @@
         let quarantined = self.quarantine.strikes(fingerprint) >= QUARANTINE_STRIKES;
         let continues = flight.delivered_tokens == 0 || flight.call.resumable;
         if flight.call.repeatable && continues && !quarantined {
-            return self.retry(index, running.endpoint, context, out);
+            return self.retry_or_refuse(index, running.endpoint, context, out);
         }
         let cause = if quarantined {
             Cause::Quarantined
         } else {
             Cause::EndpointFailed
         };
-        self.conclude(index, Refusal::may_have_run(cause), context.now, out);
+        self.settle_and_refuse(index, Refusal::may_have_run(cause), context.now, out);
     }
 
-    /// The caller has gone. A call that may not be repeated is seen through, so that its caller
-    /// can ask again for the answer.
+    /// Handles a caller that disconnected.
+    ///
+    /// A running request with an idempotency key runs to its end, so that the caller can send it
+    /// again and receive the answer.
     pub fn handle_disconnect(
         &mut self,
         request: id::Request,
@@ -237,33 +250,34 @@
                 attempt: running.attempt,
             }),
             Stage::RequestingSlot(slot_request) => {
-                let report = done(
+                let report = done_message(
                     slot_request.attempt,
                     slot_request.pool,
                     0,
                     Outcome::Cancelled,
                 );
                 out.send(slot_request.owner, report);
-                self.drop_unsent(index, context.now);
+                self.drop_waiting(index, context.now);
             }
             Stage::Suspended | Stage::Claiming | Stage::BackingOff { .. } => {
-                self.drop_unsent(index, context.now);
+                self.drop_waiting(index, context.now);
             }
         }
     }
 
-    pub(super) fn drop_unsent(&mut self, index: usize, now: id::Time) {
+    /// Ends a flight that is not running, without a refusal.
+    pub(super) fn drop_waiting(&mut self, index: usize, now: id::Time) {
         let phase = if self.flights[index].may_have_run {
             Phase::MayHaveRun
         } else {
             Phase::NotRun
         };
-        self.settle(index, phase, None, now);
-        self.end(index);
+        self.settle_reservation(index, phase, None, now);
+        self.remove(index);
     }
 
-    /// Ends a flight with a refusal and settles its reservation accordingly.
-    pub(super) fn conclude(
+    /// Refuses a request, and settles its reservation according to the verdict.
+    pub(super) fn settle_and_refuse(
         &mut self,
         index: usize,
         refusal: Refusal,
@@ -275,15 +289,16 @@
             Verdict::MayHaveRun => Phase::MayHaveRun,
             Verdict::Ran => Phase::Ran,
         };
-        self.settle(index, phase, None, now);
+        self.settle_reservation(index, phase, None, now);
         self.refuse(index, refusal, out);
     }
 
+    /// Refuses a request, unless its caller has disconnected, and removes the flight.
     pub(super) fn refuse(&mut self, index: usize, refusal: Refusal, out: &mut Outbox) {
         let flight = &self.flights[index];
         assert!(
             refusal.verdict != Verdict::NotRun || !flight.may_have_run,
-            "request {} may have run and must not be called not run",
+            "request {} may have run, so its verdict must not be `NotRun`",
             flight.request
         );
         if !flight.orphaned {
@@ -292,10 +307,11 @@
                 refusal,
             });
         }
-        self.end(index);
+        self.remove(index);
     }
 
-    pub(super) fn end(&mut self, index: usize) {
+    /// Removes a flight from the table and from its organisation's concurrency.
+    pub(super) fn remove(&mut self, index: usize) {
         let flight = self.flights.remove(index);
         self.limits.release(&flight.call.organisation);
         self.counts.ended += 1;
--- a/crates/peridotdeck-core/src/flight/table/maintenance.rs
+++ b/crates/peridotdeck-core/src/flight/table/maintenance.rs
@@ -1,54 +1,54 @@
-//! What time and peers bring: repeated messages, statements of held slots, own shares.
+//! Periodic work: resent messages, reports of held slots, and attempts without an owner's grant.
 
 use std::time::Duration;
 
 use peridotdeck_wire::{Held, Holding, Strike};
 
-use super::{KEEPALIVE, SHARERS, Statement, Table};
+use super::{HoldingReport, KEEPALIVE_INTERVAL, MAX_DIRECT_NODES, Table};
 use crate::{
     flight::{Context, Flight, Outbox, Running, SlotRequest, Stage, candidate::choose_pool},
     id, rank,
 };
 
-/// Time after which an unanswered ask is sent again.
-const ASK_AGAIN: Duration = Duration::from_millis(150);
+/// Time after which an unanswered slot request is sent again.
+const SLOT_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Asks without answer after which the node helps itself to its small share.
-const ASKS: u32 = 2;
+/// Unanswered slot requests after which the node stops waiting for the owner.
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
-/// Time between two full statements of held slots.
-const STATEMENT: Duration = Duration::from_secs(2);
+/// Interval between two full reports of held slots to an owner.
+const HOLDING_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time for which statements go on after the last slot of a pool is returned.
-const STATEMENT_TAIL: Duration = Duration::from_secs(8);
+/// Time for which reports to an owner continue after the last slot of its pool is returned.
+const HOLDING_TAIL: Duration = Duration::from_secs(8);
 
-/// Age of a success that still proves an endpoint warm.
-const PROOF_AGE: Duration = Duration::from_secs(10);
+/// Age of the latest success up to which an endpoint counts as warm.
+const MAX_SUCCESS_AGE: Duration = Duration::from_secs(10);
 
 impl Table {
-    /// Learns of a request that crashed an endpoint elsewhere.
+    /// Records a crash that a peer attributes to a request, or clears the request of suspicion.
     pub fn record_crash(&mut self, strike: &Strike, now: id::Time) {
         if strike.cleared {
             self.quarantine.clear(strike.fingerprint);
         } else {
             self.quarantine
                 .strike(strike.fingerprint, strike.endpoint, now);
-            self.disprove(strike.endpoint);
+            self.clear_successes(strike.endpoint);
         }
     }
 
-    /// Sends what is due again, and tells owners what is held.
+    /// Advances every flight, resends due messages and reports held slots to owners.
     pub fn tick(&mut self, context: &mut Context<'_>, out: &mut Outbox) {
         self.quarantine.expire(context.now);
-        self.proofs
-            .retain(|proof| context.now.saturating_sub(proof.last) < PROOF_AGE);
+        self.successes
+            .retain(|record| context.now.saturating_sub(record.last) < MAX_SUCCESS_AGE);
         for request in self.requests(|flight| !matches!(flight.stage, Stage::Suspended)) {
             if let Ok(index) = self.find(request) {
                 self.tick_flight(index, context, out);
             }
         }
         self.send_settlements(context.now, out);
-        self.state_holdings(context, out);
+        self.send_holdings(context, out);
     }
 
     pub(super) fn tick_flight(
@@ -58,39 +58,49 @@
         out: &mut Outbox,
     ) {
         match &self.flights[index].stage {
-            Stage::Claiming => self.advance_claim(index, context, out),
-            Stage::BackingOff { until } if *until <= context.now => self.ask(index, context, out),
-            Stage::RequestingSlot(_) => self.tick_ask(index, context, out),
+            Stage::Claiming => self.advance_reservation(index, context, out),
+            Stage::BackingOff { until } if *until <= context.now => {
+                self.request_slot(index, context, out);
+            }
+            Stage::RequestingSlot(_) => self.tick_slot_request(index, context, out),
             _ => {}
         }
     }
 
-    pub(super) fn tick_ask(&mut self, index: usize, context: &mut Context<'_>, out: &mut Outbox) {
+    /// Moves the request to the pool's new owner, resends it, or gives up on a silent owner.
+    pub(super) fn tick_slot_request(
+        &mut self,
+        index: usize,
+        context: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
         let Stage::RequestingSlot(slot_request) = &self.flights[index].stage else {
             return;
         };
         let owner = context.owner(slot_request.pool);
         if owner != Some(slot_request.owner) {
-            return self.ask(index, context, out);
+            return self.request_slot(index, context, out);
         }
-        let silence = context.now.saturating_sub(slot_request.sent);
-        let due = if slot_request.queued {
-            KEEPALIVE
+        let elapsed = context.now.saturating_sub(slot_request.sent);
+        let timeout = if slot_request.queued {
+            KEEPALIVE_INTERVAL
         } else {
-            ASK_AGAIN
+            SLOT_REQUEST_TIMEOUT
         };
-        if silence < due {
+        if elapsed < timeout {
             return;
         }
-        if slot_request.unanswered >= ASKS {
-            return self.help_itself(index, context, out);
+        if slot_request.unanswered >= MAX_UNANSWERED_REQUESTS {
+            return self.bypass_owner(index, context, out);
         }
-        self.send_ask(index, context.now, out);
+        self.send_slot_request(index, context.now, out);
     }
 
-    /// The owner does not answer: take the node's own small share of an endpoint proven warm, or
-    /// try another data centre.
-    pub(super) fn help_itself(
+    /// Handles an owner that does not answer.
+    ///
+    /// The attempt runs without a grant in this node's small share of a warm endpoint. Without such
+    /// an endpoint, the request goes to another pool.
+    pub(super) fn bypass_owner(
         &mut self,
         index: usize,
         context: &mut Context<'_>,
@@ -99,11 +109,11 @@
         let Stage::RequestingSlot(slot_request) = self.flights[index].stage.clone() else {
             return;
         };
-        let share = self.own_share(&slot_request, context);
-        if let Some(endpoint) = share {
+        let direct = self.find_direct_endpoint(&slot_request, context);
+        if let Some(endpoint) = direct {
             self.counts.direct += 1;
             let SlotRequest { attempt, pool, .. } = slot_request;
-            return self.run(
+            return self.dispatch(
                 index,
                 Running {
                     attempt,
@@ -116,19 +126,22 @@
         }
         self.flights[index].refused_by.push(slot_request.pool);
         if choose_pool(&self.flights[index], context).is_some() {
-            return self.ask(index, context, out);
+            return self.request_slot(index, context, out);
         }
-        self.find_no_pool(index, context, out);
+        self.handle_no_pool(index, context, out);
     }
 
-    /// An endpoint that this node ranks among the first for, so that few nodes share it.
-    pub(super) fn own_share(
+    /// Returns a warm endpoint that this node may use without a grant.
+    ///
+    /// Only the first [`MAX_DIRECT_NODES`] nodes in the endpoint's rendezvous order may, so that few
+    /// nodes share it.
+    pub(super) fn find_direct_endpoint(
         &self,
         slot_request: &SlotRequest,
         context: &Context<'_>,
     ) -> Option<id::Endpoint> {
         let pool = context.snapshot.pool(slot_request.pool)?;
-        let ranks = |endpoint: id::Endpoint| {
+        let ranks_first = |endpoint: id::Endpoint| {
             let live = context.view.live(&pool.place).iter().copied();
             let order = rank::order(
                 endpoint.into(),
@@ -136,36 +149,41 @@
             );
             order
                 .iter()
-                .take(SHARERS)
+                .take(MAX_DIRECT_NODES)
                 .any(|&node| node == context.view.me())
         };
-        let usable = |number: &id::Endpoint| {
-            let endpoint = context.snapshot.endpoint(*number);
+        let usable = |id: &id::Endpoint| {
+            let endpoint = context.snapshot.endpoint(*id);
             let open = endpoint.is_some_and(|endpoint| context.snapshot.is_open(endpoint));
-            open && ranks(*number) && self.is_proven(*number) && !self.uses_directly(*number)
+            open && ranks_first(*id) && self.is_warm(*id) && !self.has_direct_attempt(*id)
         };
         pool.endpoints.iter().copied().find(usable)
     }
 
-    /// An owner gives a cold endpoint one slot for every two finished requests, although it bears
-    /// one for each; so after this many there is room for the nodes that help themselves.
-    pub(super) fn is_proven(&self, endpoint: id::Endpoint) -> bool {
-        let enough = 2 * SHARERS as u32;
-        self.proofs
+    /// Returns whether an endpoint is warm enough for attempts without a grant.
+    ///
+    /// A cold endpoint can take one more request for each that it finished, but its owner grants a
+    /// slot only for every two. After twice [`MAX_DIRECT_NODES`] successes, the difference leaves
+    /// room for the nodes that run there without a grant.
+    pub(super) fn is_warm(&self, endpoint: id::Endpoint) -> bool {
+        let required = 2 * MAX_DIRECT_NODES as u32;
+        self.successes
             .iter()
-            .any(|proof| proof.endpoint == endpoint && proof.finished >= enough)
+            .any(|record| record.endpoint == endpoint && record.finished >= required)
     }
 
-    pub(super) fn uses_directly(&self, endpoint: id::Endpoint) -> bool {
+    /// Returns whether this node already runs an attempt there without a grant.
+    pub(super) fn has_direct_attempt(&self, endpoint: id::Endpoint) -> bool {
         self.flights.iter().any(|flight| {
             matches!(&flight.stage, Stage::Running(running)
                 if running.endpoint == endpoint && running.owner.is_none())
         })
     }
 
-    /// Tells each owner the whole list of slots that this node holds of its pool: a new owner
-    /// learns of them, and a lost message does not leak a slot.
-    pub(super) fn state_holdings(&mut self, context: &Context<'_>, out: &mut Outbox) {
+    /// Reports to each pool's owner all slots of the pool that this node holds.
+    ///
+    /// The full list informs a new owner, and prevents that a lost message leaks a slot.
+    pub(super) fn send_holdings(&mut self, context: &Context<'_>, out: &mut Outbox) {
         for flight in &mut self.flights {
             let Stage::Running(running) = &mut flight.stage else {
                 continue;
@@ -177,44 +195,45 @@
                 running.owner = Some(owner);
             }
             let key = (running.pool, owner);
-            let until = context.now + STATEMENT_TAIL;
+            let expires = context.now + HOLDING_TAIL;
             match self
-                .statements
-                .binary_search_by_key(&key, |each| (each.pool, each.owner))
+                .holding_reports
+                .binary_search_by_key(&key, |report| (report.pool, report.owner))
             {
-                Ok(index) => self.statements[index].until = until,
+                Ok(index) => self.holding_reports[index].expires = expires,
                 Err(index) => {
-                    let statement = Statement {
+                    let report = HoldingReport {
                         pool: key.0,
                         owner,
-                        until,
-                        due: context.now,
+                        expires,
+                        next_send: context.now,
                     };
-                    self.statements.insert(index, statement);
+                    self.holding_reports.insert(index, report);
                 }
             }
         }
-        self.statements.retain(|each| each.until > context.now);
-        for statement in &mut self.statements {
-            if statement.due <= context.now {
-                statement.due = context.now + STATEMENT;
-                let held = held(&self.flights, statement.pool);
-                let (pool, node) = (statement.pool, context.view.me());
-                out.send(statement.owner, Holding { pool, node, held });
+        self.holding_reports
+            .retain(|report| report.expires > context.now);
+        for report in &mut self.holding_reports {
+            if report.next_send <= context.now {
+                report.next_send = context.now + HOLDING_INTERVAL;
+                let held = held_slots(&self.flights, report.pool);
+                let (pool, node) = (report.pool, context.view.me());
+                out.send(report.owner, Holding { pool, node, held });
             }
         }
     }
 
-    /// Returns the requests that a customer has in progress here.
+    /// Returns the number of an organisation's requests in progress at this node.
     #[must_use]
     pub fn open_requests(&self, organisation: &str) -> u32 {
         self.limits.open(organisation)
     }
 
-    /// Checks the counts that must agree.
+    /// Checks that every admitted request is either in the table or has ended once.
     ///
     /// # Panics
-    /// If they do not, which is a fault of this program.
+    /// Panics if the counters disagree, which is a bug.
     pub fn check_invariants(&self) {
         assert_eq!(
             self.counts.arrived,
@@ -224,7 +243,7 @@
     }
 }
 
-fn held(flights: &[Flight], pool: id::Pool) -> Vec<Held> {
+fn held_slots(flights: &[Flight], pool: id::Pool) -> Vec<Held> {
     let running = flights.iter().filter_map(|flight| match &flight.stage {
         Stage::Running(running) if running.pool == pool => Some((flight, running)),
         _ => None,
--- a/crates/peridotdeck-core/src/flight/table/reservation.rs
+++ b/crates/peridotdeck-core/src/flight/table/reservation.rs
@@ -1,10 +1,10 @@
-//! Reservation of idempotency keys before a call is sent.
+//! Reservation of idempotency keys before a request is sent to an endpoint.
 
 use std::time::Duration;
 
 use peridotdeck_wire::{Answer, Phase, Settle};
 
-use super::{KEEPALIVE, Settlement, Table};
+use super::{KEEPALIVE_INTERVAL, Settlement, Table};
 use crate::{
     Action, Verdict, claim,
     flight::{Context, Outbox, Stage},
@@ -12,14 +12,14 @@
     request::{Cause, Refusal},
 };
 
-/// Copies of a settlement that are sent, because datagrams get lost.
-const SETTLE_COPIES: u32 = 3;
+/// Copies of a settlement that are sent to each witness, because datagrams get lost.
+const SETTLEMENT_COPIES: u32 = 3;
 
-/// Time between two copies of a settlement.
-const SETTLE_AGAIN: Duration = Duration::from_millis(300);
+/// Interval between two copies of a settlement.
+const SETTLEMENT_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Table {
-    /// Takes a witness's vote.
+    /// Handles a witness's vote.
     pub fn handle_vote(
         &mut self,
         witness: id::Node,
@@ -38,10 +38,11 @@
         if let Some(reservation) = &mut flight.reservation {
             reservation.record_vote(witness, answer);
         }
-        self.advance_claim(index, context, out);
+        self.advance_reservation(index, context, out);
     }
 
-    pub(super) fn advance_claim(
+    /// Requests missing votes, or acts on the outcome of the reservation.
+    pub(super) fn advance_reservation(
         &mut self,
         index: usize,
         context: &mut Context<'_>,
@@ -70,7 +71,7 @@
                     }
                 }
             }
-            claim::State::Reserved => self.ask(index, context, out),
+            claim::State::Reserved => self.request_slot(index, context, out),
             claim::State::AlreadyEnded(entry) if !entry.answer.is_empty() => {
                 let request = flight.request;
                 out.actions.push(Action::Replay {
@@ -78,7 +79,7 @@
                     status: entry.status,
                     body: entry.answer,
                 });
-                self.end(index);
+                self.remove(index);
             }
             claim::State::AlreadyEnded(entry) => {
                 let (verdict, cause) = match entry.phase {
@@ -96,27 +97,29 @@
                 );
             }
             claim::State::KeyReused => {
-                self.refuse(index, Refusal::not_run(Cause::KeyReused, None), out)
+                self.refuse(index, Refusal::not_run(Cause::KeyReused, None), out);
             }
             claim::State::TimedOut { earlier_call: true } => {
-                self.give_up_claim(index, context.now);
+                self.release_reservation(index, context.now);
                 self.refuse(index, Refusal::may_have_run(Cause::MayHaveRun), out);
             }
             claim::State::TimedOut {
                 earlier_call: false,
             } => {
-                self.give_up_claim(index, context.now);
-                let refusal = Refusal::not_run(Cause::NoWitness, Some(KEEPALIVE));
+                self.release_reservation(index, context.now);
+                let refusal = Refusal::not_run(Cause::NoWitness, Some(KEEPALIVE_INTERVAL));
                 self.refuse(index, refusal, out);
             }
         }
     }
 
-    pub(super) fn give_up_claim(&mut self, index: usize, now: id::Time) {
-        self.settle(index, Phase::NotRun, None, now);
+    /// Announces to the witnesses that the request did not run, so that the key is free again.
+    pub(super) fn release_reservation(&mut self, index: usize, now: id::Time) {
+        self.settle_reservation(index, Phase::NotRun, None, now);
     }
 
-    pub(super) fn settle(
+    /// Schedules the announcement of the request's end to the witnesses, if it reserved a key.
+    pub(super) fn settle_reservation(
         &mut self,
         index: usize,
         phase: Phase,
@@ -129,23 +132,24 @@
                 settle: Settle {
                     entry: reservation.final_entry(phase, answer, now),
                 },
-                copies: 0,
-                due: now,
+                copies_sent: 0,
+                next_send: now,
             });
         }
     }
 
+    /// Sends due settlements, and drops those of which all copies are sent.
     pub(super) fn send_settlements(&mut self, now: id::Time, out: &mut Outbox) {
         for settlement in &mut self.settlements {
-            if settlement.due <= now {
-                settlement.copies += 1;
-                settlement.due = now + SETTLE_AGAIN;
+            if settlement.next_send <= now {
+                settlement.copies_sent += 1;
+                settlement.next_send = now + SETTLEMENT_INTERVAL;
                 for &witness in &settlement.witnesses {
                     out.send(witness, settlement.settle.clone());
                 }
             }
         }
         self.settlements
-            .retain(|settlement| settlement.copies < SETTLE_COPIES);
+            .retain(|settlement| settlement.copies_sent < SETTLEMENT_COPIES);
     }
 }
--- a/crates/peridotdeck-core/src/flight/table/slot_request.rs
+++ b/crates/peridotdeck-core/src/flight/table/slot_request.rs
@@ -1,11 +1,11 @@
-//! Asking the owner of a pool for a slot.
+//! Requests for a slot, and the owner's replies.
 
 use std::time::Duration;
 
 use peridotdeck_wire::{Ask, Deny, Outcome, Reason};
 use rand::Rng;
 
-use super::{KEEPALIVE, REST, Table, done, pool_of};
+use super::{INITIAL_BACKOFF, KEEPALIVE_INTERVAL, Table, done_message, find_pool};
 use crate::{
     Action, Verdict,
     flight::{Context, Outbox, Running, SlotRequest, Stage, candidate::choose_pool},
@@ -14,16 +14,22 @@
     request::{Cause, Refusal},
 };
 
-/// Longest rest before another try.
-const MAX_REST: Duration = Duration::from_secs(5);
+/// Bounds the delay before a retry.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 impl Table {
-    pub(super) fn ask(&mut self, index: usize, context: &mut Context<'_>, out: &mut Outbox) {
+    /// Starts a new attempt at the best pool.
+    pub(super) fn request_slot(
+        &mut self,
+        index: usize,
+        context: &mut Context<'_>,
+        out: &mut Outbox,
+    ) {
         let flight = &self.flights[index];
         let Some((pool, owner)) = choose_pool(flight, context) else {
-            return self.find_no_pool(index, context, out);
+            return self.handle_no_pool(index, context, out);
         };
-        let attempt = self.attempts.issue();
+        let attempt = self.attempt_ids.issue();
         self.flights[index].stage = Stage::RequestingSlot(SlotRequest {
             attempt,
             pool,
@@ -32,10 +38,11 @@
             unanswered: 0,
             queued: false,
         });
-        self.send_ask(index, context.now, out);
+        self.send_slot_request(index, context.now, out);
     }
 
-    pub(super) fn send_ask(&mut self, index: usize, now: id::Time, out: &mut Outbox) {
+    /// Sends the slot request, for the first time or again.
+    pub(super) fn send_slot_request(&mut self, index: usize, now: id::Time, out: &mut Outbox) {
         let flight = &mut self.flights[index];
         let waited = flight.waited(now);
         let Stage::RequestingSlot(slot_request) = &mut flight.stage else {
@@ -50,7 +57,7 @@
             class: call.class.clone(),
             organisation: call.organisation.clone(),
             tokens: self
-                .sizes
+                .output_sizes
                 .tokens(&call.class, &call.organisation, call.max_tokens),
             prompt: call.prompt,
             prefix: call.prefix,
@@ -62,9 +69,11 @@
         out.send(slot_request.owner, ask);
     }
 
-    /// No pool may take the request now. Bulk waits; interactive work waits as long as its class
-    /// allows, because an endpoint may come back.
-    pub(super) fn find_no_pool(
+    /// Handles a request that no pool may take now.
+    ///
+    /// Bulk backs off until a pool can take it. An interactive request does so only within its
+    /// class's queue timeout, because an endpoint may come back. Then it is refused.
+    pub(super) fn handle_no_pool(
         &mut self,
         index: usize,
         context: &mut Context<'_>,
@@ -76,32 +85,33 @@
             class.is_some_and(|class| class.bulk || flight.waited(context.now) < patience(class));
         if waits {
             flight.refused_by.clear();
-            return self.rest(index, REST, context);
+            return self.back_off(index, INITIAL_BACKOFF, context);
         }
         let cause = Cause::NoEndpoint;
         let verdict = self.verdict(index);
-        self.conclude(
+        self.settle_and_refuse(
             index,
             Refusal {
                 verdict,
                 cause,
-                retry_after: Some(KEEPALIVE),
+                retry_after: Some(KEEPALIVE_INTERVAL),
             },
             context.now,
             out,
         );
     }
 
-    pub(super) fn rest(&mut self, index: usize, shortest: Duration, context: &mut Context<'_>) {
+    /// Delays the next attempt by an exponential backoff that starts at `initial`, with jitter.
+    pub(super) fn back_off(&mut self, index: usize, initial: Duration, context: &mut Context<'_>) {
         let jitter = context.rng.random_range(0.5..1.0);
         let flight = &mut self.flights[index];
-        let doubled = shortest * 2_u32.saturating_pow(flight.failures.min(8));
+        let doubled = initial * 2_u32.saturating_pow(flight.failures.min(8));
         flight.stage = Stage::BackingOff {
-            until: context.now + doubled.min(MAX_REST).mul_f64(jitter),
+            until: context.now + doubled.min(MAX_BACKOFF).mul_f64(jitter),
         };
     }
 
-    /// The owner says that the request waits.
+    /// Records that the owner has queued the request.
     pub fn mark_queued(&mut self, attempt: id::Attempt) {
         if let Some(index) = self.find_attempt(attempt)
             && let Stage::RequestingSlot(slot_request) = &mut self.flights[index].stage
@@ -111,7 +121,7 @@
         }
     }
 
-    /// The owner grants a slot; a grant that nobody waits for is returned at once.
+    /// Handles a granted slot. A grant that no request waits for is returned at once.
     pub fn handle_grant(
         &mut self,
         owner: id::Node,
@@ -124,7 +134,7 @@
             match &self.flights[index].stage {
                 Stage::RequestingSlot(slot_request) if slot_request.owner == owner => {
                     let pool = slot_request.pool;
-                    return self.run(
+                    return self.dispatch(
                         index,
                         Running {
                             attempt,
@@ -143,11 +153,15 @@
                 _ => {}
             }
         }
-        let pool = pool_of(context.snapshot, endpoint);
-        out.send(owner, done(attempt, pool, endpoint, Outcome::Cancelled));
+        let pool = find_pool(context.snapshot, endpoint);
+        out.send(
+            owner,
+            done_message(attempt, pool, endpoint, Outcome::Cancelled),
+        );
     }
 
-    pub(super) fn run(&mut self, index: usize, running: Running, out: &mut Outbox) {
+    /// Starts an attempt at an endpoint.
+    pub(super) fn dispatch(&mut self, index: usize, running: Running, out: &mut Outbox) {
         let flight = &mut self.flights[index];
         assert!(
             flight.call.repeatable || !flight.may_have_run,
@@ -162,7 +176,7 @@
         flight.stage = Stage::Running(running);
     }
 
-    /// The owner refuses the attempt.
+    /// Handles the owner's refusal of an attempt.
     pub fn handle_denial(&mut self, deny: &Deny, context: &mut Context<'_>, out: &mut Outbox) {
         let Some(index) = self.find_attempt(deny.attempt) else {
             return;
@@ -172,19 +186,19 @@
         };
         let pool = slot_request.pool;
         match deny.reason {
-            Reason::NotOwner => self.rest(index, REST, context),
+            Reason::NotOwner => self.back_off(index, INITIAL_BACKOFF, context),
             Reason::NoEndpoint => {
                 self.flights[index].refused_by.push(pool);
-                self.ask(index, context, out);
+                self.request_slot(index, context, out);
             }
             Reason::Overload => {
                 self.flights[index].refused_by.push(pool);
                 if choose_pool(&self.flights[index], context).is_some() {
-                    return self.ask(index, context, out);
+                    return self.request_slot(index, context, out);
                 }
                 let retry_after = Some(Duration::from_millis(u64::from(deny.retry_ms).max(500)));
                 let verdict = self.verdict(index);
-                self.conclude(
+                self.settle_and_refuse(
                     index,
                     Refusal {
                         verdict,
@@ -202,11 +216,12 @@
                     cause: Cause::Quarantined,
                     retry_after: None,
                 };
-                self.conclude(index, refusal, context.now, out);
+                self.settle_and_refuse(index, refusal, context.now, out);
             }
         }
     }
 
+    /// Returns the verdict of a refusal that would end the request now.
     pub(super) fn verdict(&self, index: usize) -> Verdict {
         if self.flights[index].may_have_run {
             Verdict::MayHaveRun
--- a/crates/peridotdeck-router/src/operators.rs
+++ b/crates/peridotdeck-router/src/operators.rs
@@ -311,6 +311,6 @@
         owner: candidate.owner,
         wait_ms: candidate.wait_ms,
         path_ms: candidate.path_ms,
-        late: candidate.misses_target,
+        late: candidate.exceeds_timeout,
     }
 }
