--- a/crates/peridotdeck-core/src/claim.rs
+++ b/crates/peridotdeck-core/src/claim.rs
@@ -18,7 +18,7 @@
 
 use crate::{id, rank};
 
-/// Bounds the witnesses of a key; fewer nodes give fewer witnesses.
+/// Number of witnesses of a key, if the VM list has that many nodes.
 pub const WITNESSES_PER_KEY: usize = 3;
 
 /// Returns the witnesses of a key, in different data centres as far as possible.
--- a/crates/peridotdeck-core/src/claim/reservation.rs
+++ b/crates/peridotdeck-core/src/claim/reservation.rs
@@ -35,7 +35,7 @@
     Reserved,
     /// An earlier request with the key has run, or may have run.
     AlreadyEnded(Entry),
-    /// The key was used for a request with another content.
+    /// The key was used for a request with other content.
     KeyReused,
     /// No majority granted the key in time.
     TimedOut {
--- a/crates/peridotdeck-core/src/claim/witness.rs
+++ b/crates/peridotdeck-core/src/claim/witness.rs
@@ -28,8 +28,8 @@
     granted: bool,
 }
 
-/// Delay after the start of a whole fleet before its nodes vouch for their records. Until then, each
-/// node can see that all others have started empty.
+/// Delay after the start of a whole fleet before its nodes vouch for their records. Until then, all
+/// nodes can see that every node has started empty.
 const FLEET_START_DELAY: Duration = Duration::from_secs(5);
 
 /// A peer whose reservations this witness still needs.
@@ -39,8 +39,8 @@
     /// Last key received; the next page starts after it.
     after: String,
     requested_at: Option<id::Time>,
-    /// Whether the peer has sent all its records but cannot vouch for them, because it started empty
-    /// and its own transfer is incomplete.
+    /// Whether the peer has sent all its records but cannot vouch for them, because it started
+    /// empty and its own transfer is incomplete.
     started_empty: bool,
 }
 
@@ -282,7 +282,7 @@
             (true, true, _) => self.sources.retain(|source| source.node != peer),
             (true, false, _) => (source.started_empty, source.after) = (true, String::new()),
             (false, _, Some(entry)) => {
-                (source.after, source.requested_at) = (entry.key.clone(), None)
+                (source.after, source.requested_at) = (entry.key.clone(), None);
             }
             (false, _, None) => {}
         }
--- a/crates/peridotdeck-core/src/flight/table.rs
+++ b/crates/peridotdeck-core/src/flight/table.rs
@@ -187,6 +187,7 @@
         }
     }
 
+    /// Reserves the idempotency key if the request has one, or else requests a slot.
     fn start(&mut self, index: usize, context: &mut Context<'_>, out: &mut Outbox) {
         let flight = &mut self.flights[index];
         if let (Some(claim), None) = (&flight.call.claim, &flight.reservation) {
@@ -234,6 +235,7 @@
         }
     }
 
+    /// Returns the ids of all requests that match, so that transitions may change the table.
     fn requests(&self, matches: impl Fn(&Flight) -> bool) -> Vec<id::Request> {
         self.flights
             .iter()
@@ -247,6 +249,7 @@
             .binary_search_by_key(&request, |flight| flight.request)
     }
 
+    /// Returns the index of the flight whose current attempt is `attempt`.
     fn find_attempt(&self, attempt: id::Attempt) -> Option<usize> {
         self.flights
             .iter()
@@ -254,6 +257,7 @@
     }
 }
 
+/// Returns the message that reports the end of an attempt, without measurements.
 fn done_message(
     attempt: id::Attempt,
     pool: id::Pool,
@@ -271,6 +275,7 @@
     }
 }
 
+/// Returns the pool of an endpoint, or 0 if no pool of the configuration has it.
 fn find_pool(snapshot: &Snapshot, endpoint: id::Endpoint) -> id::Pool {
     let holds = |pool: &&Pool| pool.endpoints.binary_search(&endpoint).is_ok();
     snapshot
@@ -280,6 +285,7 @@
         .map_or(0, |pool| pool.id)
 }
 
+/// Sends a strike to all other live nodes.
 fn broadcast_strike(strike: &Strike, context: &Context<'_>, out: &mut Outbox) {
     for member in context.view.members() {
         if member.node != context.view.me() && context.view.is_live(member.node, context.now) {
--- a/crates/peridotdeck-core/src/flight/table/maintenance.rs
+++ b/crates/peridotdeck-core/src/flight/table/maintenance.rs
@@ -51,6 +51,7 @@
         self.send_holdings(context, out);
     }
 
+    /// Advances one flight whose stage depends on time.
     pub(super) fn tick_flight(
         &mut self,
         index: usize,
@@ -133,8 +134,8 @@
 
     /// Returns a warm endpoint that this node may use without a grant.
     ///
-    /// Only the first [`MAX_DIRECT_NODES`] nodes in the endpoint's rendezvous order may, so that few
-    /// nodes share it.
+    /// Only the first [`MAX_DIRECT_NODES`] nodes in the endpoint's rendezvous order may use it, so
+    /// that few nodes share it.
     pub(super) fn find_direct_endpoint(
         &self,
         slot_request: &SlotRequest,
@@ -182,7 +183,7 @@
 
     /// Reports to each pool's owner all slots of the pool that this node holds.
     ///
-    /// The full list informs a new owner, and prevents that a lost message leaks a slot.
+    /// The full list informs a new owner, and keeps a lost message from leaking a slot.
     pub(super) fn send_holdings(&mut self, context: &Context<'_>, out: &mut Outbox) {
         for flight in &mut self.flights {
             let Stage::Running(running) = &mut flight.stage else {
@@ -243,6 +244,7 @@
     }
 }
 
+/// Returns the slots of a pool in which flights run.
 fn held_slots(flights: &[Flight], pool: id::Pool) -> Vec<Held> {
     let running = flights.iter().filter_map(|flight| match &flight.stage {
         Stage::Running(running) if running.pool == pool => Some((flight, running)),
