--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -1,13 +1,13 @@
-//! One router node: events in, actions out.
+//! The state machine of one router node: it takes events and returns actions.
 //!
-//! [`Node::handle`] is the only way in. Messages that the node sends to itself, because it owns the
-//! pool or witnesses the key, take the same path as a peer's, without the network.
+//! All input passes through [`Node::handle`]. A node sends messages to itself where it owns the pool
+//! or witnesses the key; these take the same path as a peer's messages, without the network.
 
-mod inbox;
-mod spread;
+mod fetcher;
+mod filter;
 
-pub use inbox::{Drops, Inbox};
-pub use spread::Spread;
+pub use fetcher::Fetcher;
+pub use filter::{Drops, Filter};
 
 use std::{mem, sync::Arc, time::Duration};
 
@@ -17,42 +17,42 @@
 
 use crate::{
     Action, Event, Strategy,
-    book::{Book, Change},
-    claim::{Ledger, must_sync},
-    flight::{Candidate, Desk, Outbox, Scene, candidates},
+    claim::{Witness, needs_transfer},
+    config::{self, Change},
+    flight::{Candidate, Context, Outbox, Table, rank_candidates},
     id,
-    member::{GOSSIP, View},
-    owner::Owner,
+    membership::{GOSSIP_INTERVAL, View},
+    owner,
     request::{Call, Cause, Refusal},
 };
 
-/// Time between two [`Event::Tick`]s.
-pub const TICK: Duration = Duration::from_millis(25);
+/// Time between two [`Event::Tick`] events.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Time without ticks after which the process has been paused and its knowledge is old.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Time without ticks after which the process counts as paused and its view as out of date.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Time to wait for a peer's proof that the view is current; a cut-off node then goes on alone.
-const PROOF_WAIT: Duration = Duration::from_secs(1);
+/// Longest wait after a pause for a peer's answer; a node that is cut off then goes on without one.
+const REVALIDATION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two reads of an endpoint's load report.
-const POLL: Duration = Duration::from_secs(1);
+/// Time between two fetches of an endpoint's load report.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Peers that a starting node asks for a newer configuration.
-const START_ASKED: usize = 5;
+/// Peers from which a starting node fetches a newer configuration.
+const START_FETCH_PEERS: usize = 5;
 
-/// What a node is told at its start.
+/// Parameters with which a node starts.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Number of this VM in the VM list.
     pub node: id::Node,
-    /// Data centre that it stands in.
-    pub place: String,
-    /// Start of the process, higher than that of any earlier process of this VM.
+    /// Data centre of this VM.
+    pub data_centre: String,
+    /// Incarnation of the process, higher than that of any earlier process of this VM.
     pub incarnation: id::Incarnation,
-    /// Seed of all randomness.
+    /// Seed of the node's random numbers.
     pub seed: u64,
-    /// Queueing and placement.
+    /// Strategy for queueing and placement.
     pub strategy: Strategy,
 }
 
@@ -60,154 +60,161 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     view: View,
-    book: Book,
-    desk: Desk,
-    owner: Owner,
-    ledger: Ledger,
-    inbox: Inbox,
-    spread: Spread,
+    config: config::Store,
+    request_table: Table,
+    pools: owner::Pools,
+    witness: Witness,
+    filter: Filter,
+    fetcher: Fetcher,
     rng: SmallRng,
-    requests: id::Counter,
+    request_ids: id::Generator,
     last_tick: id::Time,
-    unproven: Option<Unproven>,
-    gossip_due: id::Time,
-    poll_due: id::Time,
-    watching: Option<bool>,
+    revalidation: Option<Revalidation>,
+    next_gossip: id::Time,
+    next_poll: id::Time,
+    is_watching: Option<bool>,
 }
 
-/// A view that may be old, until a peer answers `nonce`.
+/// A check after a pause: the view may be out of date until a peer answers the fetch with `nonce`.
 #[derive(Clone, Copy, Debug)]
-struct Unproven {
+struct Revalidation {
     nonce: u64,
-    since: id::Time,
+    started: id::Time,
 }
 
 impl Node {
-    /// Starts a node that knows nothing but its own place.
+    /// Creates a node that has neither a configuration nor a VM list yet.
     #[must_use]
     pub fn new(setup: Setup) -> Self {
-        let ids = id::Counter::new(setup.node, setup.incarnation);
+        let ids = id::Generator::new(setup.node, setup.incarnation);
         Self {
-            view: View::new(setup.node, setup.place, setup.incarnation),
-            book: Book::default(),
-            desk: Desk::new(ids.clone()),
-            owner: Owner::new(setup.strategy),
-            ledger: Ledger::new(setup.node),
-            inbox: Inbox::default(),
-            spread: Spread::default(),
+            view: View::new(setup.node, setup.data_centre, setup.incarnation),
+            config: config::Store::default(),
+            request_table: Table::new(ids.clone()),
+            pools: owner::Pools::new(setup.strategy),
+            witness: Witness::new(setup.node),
+            filter: Filter::default(),
+            fetcher: Fetcher::default(),
             rng: SmallRng::seed_from_u64(setup.seed),
-            requests: ids,
+            request_ids: ids,
             last_tick: id::Time::ZERO,
-            unproven: None,
-            gossip_due: id::Time::ZERO,
-            poll_due: id::Time::ZERO,
-            watching: None,
+            revalidation: None,
+            next_gossip: id::Time::ZERO,
+            next_poll: id::Time::ZERO,
+            is_watching: None,
         }
     }
 
     /// Returns a new request id.
-    pub fn next_id(&mut self) -> id::Request {
-        self.requests.issue()
+    pub fn next_request_id(&mut self) -> id::Request {
+        self.request_ids.issue()
     }
 
     /// Returns the configuration in force.
     #[must_use]
     pub fn snapshot(&self) -> Option<&Arc<Snapshot>> {
-        self.book.snapshot()
+        self.config.snapshot()
     }
 
-    /// Returns the configuration parts and their revision.
+    /// Returns the configuration's parts and revisions.
     #[must_use]
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn config(&self) -> &config::Store {
+        &self.config
     }
 
-    /// Returns what the node knows of its peers.
+    /// Returns the node's view of the fleet.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Returns the requests of this node's callers.
+    /// Returns the requests in flight of this node's callers.
     #[must_use]
-    pub fn desk(&self) -> &Desk {
-        &self.desk
+    pub fn request_table(&self) -> &Table {
+        &self.request_table
     }
 
-    /// Returns the pools that this node schedules.
+    /// Returns the schedulers of the pools that this node owns.
     #[must_use]
-    pub fn owner(&self) -> &Owner {
-        &self.owner
+    pub fn pools(&self) -> &owner::Pools {
+        &self.pools
     }
 
-    /// Returns the reservations that this node witnesses.
+    /// Returns the reservations of idempotency keys that this node witnesses.
     #[must_use]
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn witness(&self) -> &Witness {
+        &self.witness
     }
 
-    /// Returns the counts of messages that were not believed.
+    /// Returns the counts of dropped messages.
     #[must_use]
     pub fn drops(&self) -> Drops {
-        self.inbox.drops()
+        self.filter.drops()
     }
 
-    /// Returns whether the node may serve callers: configured, current and not leaving.
+    /// Returns whether the node may serve callers.
+    ///
+    /// It must be configured, its view must not be under revalidation, and it must not be leaving.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.book.snapshot().is_some() && self.unproven.is_none() && !self.view.is_leaving()
+        self.config.snapshot().is_some() && self.revalidation.is_none() && !self.view.is_leaving()
     }
 
-    /// Returns whether a leaving node has nothing left to do.
+    /// Returns whether no work is left for a node that is leaving.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.desk.is_idle()
+        self.request_table.is_idle()
     }
 
     /// Returns the pools that a request may use, best first.
     #[must_use]
-    pub fn explain(&self, call: &Call, now: id::Time) -> Vec<Candidate> {
-        self.book.snapshot().map_or_else(Vec::new, |snapshot| {
-            candidates(call, Duration::ZERO, &self.view, snapshot, now)
+    pub fn candidates(&self, call: &Call, now: id::Time) -> Vec<Candidate> {
+        self.config.snapshot().map_or_else(Vec::new, |snapshot| {
+            rank_candidates(call, Duration::ZERO, &self.view, snapshot, now)
         })
     }
 
-    /// Handles one event at a time and returns what the shell must do.
+    /// Handles one event and returns the actions for the shell.
     pub fn handle(&mut self, now: id::Time, event: Event) -> Vec<Action> {
         let mut out = Outbox::default();
-        if now.saturating_sub(self.last_tick) > PAUSE && self.last_tick > id::Time::ZERO {
-            self.wake(now, &mut out);
+        if now.saturating_sub(self.last_tick) > PAUSE_THRESHOLD && self.last_tick > id::Time::ZERO {
+            self.revalidate(now, &mut out);
         }
-        self.dispatch(now, event, &mut out);
-        self.deliver(now, &mut out);
+        self.handle_event(now, event, &mut out);
+        self.deliver_messages(now, &mut out);
         out.actions
     }
 
-    fn dispatch(&mut self, now: id::Time, event: Event, out: &mut Outbox) {
+    fn handle_event(&mut self, now: id::Time, event: Event, out: &mut Outbox) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Arrive { request, call } => self.arrive(request, call, now, out),
+            Event::Arrive { request, call } => self.handle_arrival(request, call, now, out),
             Event::Ended { attempt, end } => {
-                self.with_scene(now, |desk, scene| desk.ended(attempt, end, scene, out));
+                self.with_context(now, |table, context| {
+                    table.handle_attempt_end(attempt, end, context, out);
+                });
             }
             Event::Abandoned { request } => {
-                self.with_scene(now, |desk, scene| desk.abandon(request, scene, out));
+                self.with_context(now, |table, context| {
+                    table.handle_disconnect(request, context, out);
+                });
             }
             Event::Message(envelope) => self.receive(envelope, now, out),
-            Event::Published(delta) => self.published(delta, now, out),
+            Event::Published(delta) => self.handle_published(delta, now, out),
             Event::Reported { endpoint, report } => {
-                self.owner.report(endpoint, report, now, &mut out.letters);
+                self.pools
+                    .handle_report(endpoint, report, now, &mut out.messages);
             }
             Event::Drain => self.drain(now, out),
         }
     }
 
-    /// Delivers letters to this node itself until only peers' letters are left.
-    fn deliver(&mut self, now: id::Time, out: &mut Outbox) {
-        while !out.letters.is_empty() {
-            for (node, body) in mem::take(&mut out.letters) {
-                if node == self.view.me() {
-                    self.read(node, body, now, out);
+    /// Handles the messages to this node itself, and passes those to peers to the shell.
+    fn deliver_messages(&mut self, now: id::Time, out: &mut Outbox) {
+        while !out.messages.is_empty() {
+            for (node, body) in mem::take(&mut out.messages) {
+                if node == self.view.local_node() {
+                    self.handle_message(node, body, now, out);
                 } else if let Some(member) = self.view.member(node) {
                     out.actions.push(Action::Send {
                         to: member.clone(),
@@ -218,24 +225,30 @@
         }
     }
 
-    fn with_scene(&mut self, now: id::Time, act: impl FnOnce(&mut Desk, &mut Scene<'_>)) {
-        let Some(snapshot) = self.book.snapshot() else {
+    fn with_context(&mut self, now: id::Time, act: impl FnOnce(&mut Table, &mut Context<'_>)) {
+        let Some(snapshot) = self.config.snapshot() else {
             return;
         };
-        let mut scene = Scene {
+        let mut context = Context {
             now,
             view: &self.view,
             snapshot,
             rng: &mut self.rng,
         };
-        act(&mut self.desk, &mut scene);
+        act(&mut self.request_table, &mut context);
     }
 
-    fn arrive(&mut self, request: id::Request, call: Call, now: id::Time, out: &mut Outbox) {
+    fn handle_arrival(
+        &mut self,
+        request: id::Request,
+        call: Call,
+        now: id::Time,
+        out: &mut Outbox,
+    ) {
         let refused = if self.view.is_leaving() {
             Some(Cause::Leaving)
         } else {
-            self.book
+            self.config
                 .snapshot()
                 .is_none()
                 .then_some(Cause::Unconfigured)
@@ -245,135 +258,138 @@
             out.actions.push(Action::Refuse { request, refusal });
             return;
         }
-        let parked = self.unproven.is_some();
-        self.with_scene(now, |desk, scene| {
-            desk.arrive(request, call, parked, scene, out);
+        let parked = self.revalidation.is_some();
+        self.with_context(now, |table, context| {
+            table.admit(request, call, parked, context, out);
         });
     }
 
-    // Time.
+    // Periodic work.
 
     fn tick(&mut self, now: id::Time, out: &mut Outbox) {
         self.last_tick = now;
         self.view.refresh(now);
-        self.check_proof(now, out);
-        if let Some(delta) = self.spread.release(now) {
-            self.adopt(&delta, now, out);
+        self.expire_revalidation(now, out);
+        if let Some(delta) = self.fetcher.take_held(now) {
+            self.apply_delta(&delta, now, out);
         }
-        if self.unproven.is_none() {
-            self.tick_owner(now, out);
-            self.with_scene(now, |desk, scene| desk.tick(scene, out));
+        if self.revalidation.is_none() {
+            self.tick_pools(now, out);
+            self.with_context(now, |table, context| table.tick(context, out));
         }
-        for (node, sync) in self.ledger.tick(now) {
-            out.tell(node, sync);
+        for (node, sync) in self.witness.tick(now) {
+            out.send(node, sync);
         }
-        if self.gossip_due <= now {
-            self.gossip_due = now + GOSSIP;
+        if self.next_gossip <= now {
+            self.next_gossip = now + GOSSIP_INTERVAL;
             self.gossip(now, out);
         }
-        self.seek(now, out);
-        self.follow_watch(out);
-        self.desk.check();
-        self.owner.check();
+        self.fetch_from_seeds(now, out);
+        self.update_watch(out);
+        self.request_table.check_invariants();
+        self.pools.check_invariants();
     }
 
-    fn tick_owner(&mut self, now: id::Time, out: &mut Outbox) {
-        let Some(snapshot) = self.book.snapshot().cloned() else {
+    fn tick_pools(&mut self, now: id::Time, out: &mut Outbox) {
+        let Some(snapshot) = self.config.snapshot().cloned() else {
             return;
         };
-        if !self.view.is_leaving() && self.view.is_acquainted(now) {
-            self.owner
-                .follow(&self.view, &snapshot, now, &mut out.letters);
+        if !self.view.is_leaving() && self.view.may_own_pools(now) {
+            self.pools
+                .update_ownership(&self.view, &snapshot, now, &mut out.messages);
         }
-        self.owner.tick(now, &mut out.letters);
-        if self.poll_due <= now {
-            self.poll_due = now + POLL;
+        self.pools.tick(now, &mut out.messages);
+        if self.next_poll <= now {
+            self.next_poll = now + POLL_INTERVAL;
             out.actions.extend(
-                self.owner
+                self.pools
                     .endpoints()
                     .map(|endpoint| Action::Poll { endpoint }),
             );
         }
     }
 
-    /// The process has been paused: nothing it knows may be acted on until a peer answers.
-    fn wake(&mut self, now: id::Time, out: &mut Outbox) {
+    /// Starts a revalidation after a pause: until a peer answers, nothing known may be acted on.
+    fn revalidate(&mut self, now: id::Time, out: &mut Outbox) {
         self.last_tick = now;
-        self.view.excuse(now);
-        self.owner.abandon();
-        self.desk.park();
-        let nonce = self.spread.nonce();
-        self.unproven = Some(Unproven { nonce, since: now });
-        self.fetch_from(&self.some_peers(), nonce, out);
-    }
-
-    /// Some peers of each data centre, the own one first.
-    fn some_peers(&self) -> Vec<id::Node> {
-        /// Peers asked in each data centre.
-        const ASKED: usize = 3;
+        self.view.assume_all_alive(now);
+        self.pools.drop_all();
+        self.request_table.suspend();
+        let nonce = self.fetcher.next_nonce();
+        self.revalidation = Some(Revalidation {
+            nonce,
+            started: now,
+        });
+        self.fetch_from(&self.sample_peers(), nonce, out);
+    }
+
+    /// Returns up to three live peers of each data centre.
+    fn sample_peers(&self) -> Vec<id::Node> {
+        /// Peers returned for each data centre.
+        const PEERS_PER_DATA_CENTRE: usize = 3;
         let mut peers: Vec<id::Node> = Vec::new();
-        let mut places: Vec<&str> = self
+        let mut data_centres: Vec<&str> = self
             .view
             .members()
             .iter()
-            .map(|each| each.place.as_str())
+            .map(|member| member.place.as_str())
             .collect();
-        places.sort_unstable();
-        places.dedup();
-        for place in places {
+        data_centres.sort_unstable();
+        data_centres.dedup();
+        for data_centre in data_centres {
             let others = self
                 .view
-                .live(place)
+                .live_nodes(data_centre)
                 .iter()
-                .filter(|&&node| node != self.view.me());
-            peers.extend(others.take(ASKED));
+                .filter(|&&node| node != self.view.local_node());
+            peers.extend(others.take(PEERS_PER_DATA_CENTRE));
         }
         peers
     }
 
-    fn check_proof(&mut self, now: id::Time, out: &mut Outbox) {
-        if let Some(unproven) = self.unproven
-            && now.saturating_sub(unproven.since) >= PROOF_WAIT
+    fn expire_revalidation(&mut self, now: id::Time, out: &mut Outbox) {
+        if let Some(revalidation) = self.revalidation
+            && now.saturating_sub(revalidation.started) >= REVALIDATION_TIMEOUT
         {
-            self.proven(now, out);
+            self.end_revalidation(now, out);
         }
     }
 
-    fn proven(&mut self, now: id::Time, out: &mut Outbox) {
-        self.unproven = None;
-        self.with_scene(now, |desk, scene| desk.resume(scene, out));
+    fn end_revalidation(&mut self, now: id::Time, out: &mut Outbox) {
+        self.revalidation = None;
+        self.with_context(now, |table, context| table.resume(context, out));
     }
 
-    fn follow_watch(&mut self, out: &mut Outbox) {
-        let watch = self.book.snapshot().is_none() || self.view.is_watcher();
-        if self.watching != Some(watch) {
-            self.watching = Some(watch);
+    fn update_watch(&mut self, out: &mut Outbox) {
+        let watch = self.config.snapshot().is_none() || self.view.is_watcher();
+        if self.is_watching != Some(watch) {
+            self.is_watching = Some(watch);
             out.actions.push(Action::Watch(watch));
         }
     }
 
     fn gossip(&mut self, now: id::Time, out: &mut Outbox) {
-        let (told, probed) = self.view.beat(now, &mut self.rng);
-        let own = self.owner.summaries(self.view.counter(), now);
-        self.view.note(&own, now);
-        for node in told {
-            out.tell(node, self.digest(false, now));
+        let (targets, probed) = self.view.start_gossip_round(now, &mut self.rng);
+        let own = self.pools.summaries(self.view.heartbeat_count(), now);
+        self.view.receive_summaries(&own, now);
+        for node in targets {
+            out.send(node, self.build_digest(false, now));
         }
         if let Some(node) = probed {
-            out.tell(node, self.digest(true, now));
+            out.send(node, self.build_digest(true, now));
         }
     }
 
-    fn digest(&self, probe: bool, now: id::Time) -> Gossip {
+    fn build_digest(&self, probe: bool, now: id::Time) -> Gossip {
         let pools = self
-            .book
+            .config
             .snapshot()
-            .map_or_else(Vec::new, |each| self.view.summaries(each, now));
+            .map_or_else(Vec::new, |snapshot| self.view.summaries(snapshot, now));
         Gossip {
             probe,
-            revision: self.book.revision(),
-            roster: self.view.roster(),
-            beats: self.view.beats(),
+            revision: self.config.revision(),
+            roster: self.view.vm_list_revision(),
+            beats: self.view.heartbeats(),
             pools,
         }
     }
@@ -382,21 +398,21 @@
         if self.view.is_leaving() {
             return;
         }
-        self.view.leave();
+        self.view.start_leaving();
         self.view.refresh(now);
-        if let Some(snapshot) = self.book.snapshot().cloned() {
-            self.owner
-                .follow(&self.view, &snapshot, now, &mut out.letters);
-        }
-        // Everyone in the data centre learns at once, so that the new owners start at once.
-        self.view.beat(now, &mut self.rng);
-        let digest = self.digest(false, now);
-        for &node in self.view.live(self.view.place()) {
-            out.tell(node, digest.clone());
-        }
-        for entry in self.ledger.entries(now) {
-            for witness in crate::claim::witnesses(&entry.key, self.view.members()) {
-                out.tell(
+        if let Some(snapshot) = self.config.snapshot().cloned() {
+            self.pools
+                .update_ownership(&self.view, &snapshot, now, &mut out.messages);
+        }
+        // Announces the leave to the whole data centre at once, so that new owners start at once.
+        self.view.start_gossip_round(now, &mut self.rng);
+        let digest = self.build_digest(false, now);
+        for &node in self.view.live_nodes(self.view.data_centre()) {
+            out.send(node, digest.clone());
+        }
+        for entry in self.witness.entries(now) {
+            for witness in crate::claim::choose_witnesses(&entry.key, self.view.members()) {
+                out.send(
                     witness,
                     Settle {
                         entry: entry.clone(),
@@ -409,65 +425,73 @@
     // Messages.
 
     fn receive(&mut self, envelope: Envelope, now: id::Time, out: &mut Outbox) {
-        let nonce = self.spread.last_nonce();
-        let Ok(restarted) = self.inbox.accept(&envelope, &self.view, nonce) else {
+        let nonce = self.fetcher.last_nonce();
+        let Ok(restarted) = self.filter.accept(&envelope, &self.view, nonce) else {
             return;
         };
-        self.view.touch(envelope.sender, now);
+        self.view.record_message(envelope.sender, now);
         if restarted {
-            self.owner.forget(envelope.sender, now, &mut out.letters);
+            self.pools
+                .forget_node(envelope.sender, now, &mut out.messages);
         }
-        self.read(envelope.sender, envelope.body, now, out);
+        self.handle_message(envelope.sender, envelope.body, now, out);
     }
 
-    fn read(&mut self, from: id::Node, body: Body, now: id::Time, out: &mut Outbox) {
+    fn handle_message(&mut self, from: id::Node, body: Body, now: id::Time, out: &mut Outbox) {
         match body {
-            Body::Gossip(gossip) => self.hear(from, &gossip, now, out),
-            Body::Ask(ask) if self.unproven.is_none() => {
-                self.owner.ask(from, ask, now, &mut out.letters);
+            Body::Gossip(gossip) => self.handle_gossip(from, &gossip, now, out),
+            Body::Ask(ask) if self.revalidation.is_none() => {
+                self.pools.handle_ask(from, ask, now, &mut out.messages);
             }
             Body::Ask(_) => {}
-            Body::Done(done) => self.owner.done(&done, now, &mut out.letters),
-            Body::Holding(holding) => self.owner.hold(from, &holding, now, &mut out.letters),
-            Body::Handover(handover) => self.owner.inherit(handover, now),
-            Body::Queued(queued) => self.desk.queued(queued.attempt),
+            Body::Done(done) => self.pools.handle_done(&done, now, &mut out.messages),
+            Body::Holding(holding) => {
+                self.pools
+                    .handle_holding(from, &holding, now, &mut out.messages);
+            }
+            Body::Handover(handover) => self.pools.handle_handover(handover, now),
+            Body::Queued(queued) => self.request_table.mark_queued(queued.attempt),
             Body::Grant(grant) => {
                 let (attempt, endpoint) = (grant.attempt, grant.endpoint);
-                self.with_scene(now, |desk, scene| {
-                    desk.grant(from, attempt, endpoint, scene, out);
+                self.with_context(now, |table, context| {
+                    table.handle_grant(from, attempt, endpoint, context, out);
+                });
+            }
+            Body::Deny(deny) => {
+                self.with_context(now, |table, context| {
+                    table.handle_denial(&deny, context, out);
                 });
             }
-            Body::Deny(deny) => self.with_scene(now, |desk, scene| desk.deny(&deny, scene, out)),
-            Body::Preempt(preempt) => self.desk.preempt(preempt.attempt, out),
-            Body::Strike(strike) => self.desk.strike(&strike, now),
-            Body::Claim(claim) => self.witness(from, &claim, now, out),
+            Body::Preempt(preempt) => self.request_table.handle_preemption(preempt.attempt, out),
+            Body::Strike(strike) => self.request_table.record_crash(&strike, now),
+            Body::Claim(claim) => self.handle_claim(from, &claim, now, out),
             Body::Vote(Vote {
                 attempt, answer, ..
             }) => {
-                self.with_scene(now, |desk, scene| {
-                    desk.vote(from, attempt, answer, scene, out);
+                self.with_context(now, |table, context| {
+                    table.handle_vote(from, attempt, answer, context, out);
                 });
             }
-            Body::Settle(settle) => self.ledger.absorb(&settle.entry, now),
-            Body::Sync(sync) => match self.ledger.page(from, &sync, now) {
-                Some(page) => out.tell(from, page),
+            Body::Settle(settle) => self.witness.merge(&settle.entry, now),
+            Body::Sync(sync) => match self.witness.build_page(from, &sync, now) {
+                Some(page) => out.send(from, page),
                 None => self.fetch(from, now, out),
             },
-            Body::Claims(claims) => self.ledger.receive(from, &claims, now),
+            Body::Claims(claims) => self.witness.receive_page(from, &claims, now),
             Body::Fetch(fetch) => {
-                let delta = self.delta(&fetch);
-                out.tell(from, delta);
+                let delta = self.build_delta(&fetch);
+                out.send(from, delta);
             }
-            Body::Delta(delta) => self.learn(&delta, now, out),
+            Body::Delta(delta) => self.handle_delta(&delta, now, out),
         }
     }
 
-    fn witness(&mut self, from: id::Node, claim: &Claim, now: id::Time, out: &mut Outbox) {
-        let answer = self.ledger.vote(claim, now);
-        if answer == Answer::Stale && claim.roster > self.view.roster() {
+    fn handle_claim(&mut self, from: id::Node, claim: &Claim, now: id::Time, out: &mut Outbox) {
+        let answer = self.witness.vote(claim, now);
+        if answer == Answer::Stale && claim.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
         }
-        out.tell(
+        out.send(
             from,
             Vote {
                 key: claim.key.clone(),
@@ -477,14 +501,15 @@
         );
     }
 
-    fn hear(&mut self, from: id::Node, gossip: &Gossip, now: id::Time, out: &mut Outbox) {
-        self.view.hear(&gossip.beats, now);
-        self.view.note(&gossip.pools, now);
+    fn handle_gossip(&mut self, from: id::Node, gossip: &Gossip, now: id::Time, out: &mut Outbox) {
+        self.view.receive_heartbeats(&gossip.beats, now);
+        self.view.receive_summaries(&gossip.pools, now);
         if gossip.probe {
-            out.tell(from, self.digest(false, now));
+            out.send(from, self.build_digest(false, now));
         }
-        let newer = gossip.revision > self.book.revision().max(self.book.rejected());
-        if newer || gossip.roster > self.view.roster() {
+        let is_newer =
+            gossip.revision > self.config.revision().max(self.config.rejected_revision());
+        if is_newer || gossip.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
         }
     }
@@ -492,28 +517,28 @@
     // Configuration and VM list.
 
     fn fetch(&mut self, from: id::Node, now: id::Time, out: &mut Outbox) {
-        if let Some(nonce) = self.spread.may_fetch(now) {
+        if let Some(nonce) = self.fetcher.start_fetch(now) {
             self.fetch_from(&[from], nonce, out);
         }
     }
 
     fn fetch_from(&mut self, peers: &[id::Node], nonce: u64, out: &mut Outbox) {
         for &peer in peers {
-            out.tell(peer, self.fetch_body(nonce));
+            out.send(peer, self.build_fetch(nonce));
         }
     }
 
-    fn fetch_body(&self, nonce: u64) -> Fetch {
+    fn build_fetch(&self, nonce: u64) -> Fetch {
         Fetch {
             nonce,
-            revision: self.book.revision(),
-            roster: self.view.roster(),
+            revision: self.config.revision(),
+            roster: self.view.vm_list_revision(),
         }
     }
 
-    fn delta(&self, fetch: &Fetch) -> Delta {
-        let newer_roster = self.view.roster() > fetch.roster;
-        let members = if newer_roster {
+    fn build_delta(&self, fetch: &Fetch) -> Delta {
+        let has_newer_list = self.view.vm_list_revision() > fetch.roster;
+        let members = if has_newer_list {
             self.view.members().to_vec()
         } else {
             Vec::new()
@@ -521,90 +546,104 @@
         Delta {
             nonce: fetch.nonce,
             from: fetch.revision,
-            to: self.book.revision(),
-            parts: self.book.since(fetch.revision),
-            roster: if newer_roster { self.view.roster() } else { 0 },
+            to: self.config.revision(),
+            parts: self.config.parts_since(fetch.revision),
+            roster: if has_newer_list {
+                self.view.vm_list_revision()
+            } else {
+                0
+            },
             members,
         }
     }
 
-    /// A node without a VM list asks the seeds of its settings.
-    fn seek(&mut self, now: id::Time, out: &mut Outbox) {
-        if self.view.roster() == 0
-            && let Some(nonce) = self.spread.may_seek(now)
+    /// Fetches the VM list from the seeds in the settings while this node has none.
+    fn fetch_from_seeds(&mut self, now: id::Time, out: &mut Outbox) {
+        if self.view.vm_list_revision() == 0
+            && let Some(nonce) = self.fetcher.start_seed_fetch(now)
         {
-            out.actions.push(Action::Seek {
-                body: self.fetch_body(nonce).into(),
+            out.actions.push(Action::SendToSeeds {
+                body: self.build_fetch(nonce).into(),
             });
         }
     }
 
-    /// The platform's answer: the VM list counts at once; before the first configuration, peers
-    /// are asked for a newer one, because the service may be stale.
-    fn published(&mut self, delta: Delta, now: id::Time, out: &mut Outbox) {
-        self.follow_roster(&delta, now, out);
-        if self.book.snapshot().is_some() {
-            self.adopt(&delta, now, out);
+    /// Handles an answer of the configuration service.
+    ///
+    /// The VM list is used at once. Before the first configuration, some peers are first asked for
+    /// a newer one, because the service's answer may be stale.
+    fn handle_published(&mut self, delta: Delta, now: id::Time, out: &mut Outbox) {
+        self.update_vm_list(&delta, now, out);
+        if self.config.snapshot().is_some() {
+            self.apply_delta(&delta, now, out);
             return;
         }
         let alone = self
             .view
             .members()
             .iter()
-            .all(|member| member.node == self.view.me());
-        let first = self.spread.hold(delta, alone, now);
-        if first && !alone {
-            let nonce = self.spread.nonce();
-            let peers: Vec<id::Node> = self.view.members().iter().map(|each| each.node).collect();
-            let order = crate::rank::order(
+            .all(|member| member.node == self.view.local_node());
+        let is_first = self.fetcher.hold(delta, alone, now);
+        if is_first && !alone {
+            let nonce = self.fetcher.next_nonce();
+            let peers: Vec<id::Node> = self
+                .view
+                .members()
+                .iter()
+                .map(|member| member.node)
+                .collect();
+            let order = crate::rendezvous::order(
                 nonce,
-                peers.into_iter().filter(|&node| node != self.view.me()),
+                peers
+                    .into_iter()
+                    .filter(|&node| node != self.view.local_node()),
             );
-            self.fetch_from(&order[..order.len().min(START_ASKED)], nonce, out);
+            self.fetch_from(&order[..order.len().min(START_FETCH_PEERS)], nonce, out);
         }
     }
 
-    /// A peer's answer.
-    fn learn(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
-        self.follow_roster(delta, now, out);
-        self.adopt(delta, now, out);
+    /// Handles a peer's answer to a fetch.
+    fn handle_delta(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
+        self.update_vm_list(delta, now, out);
+        self.apply_delta(delta, now, out);
         if delta.to > 0 {
-            self.spread.answered();
+            self.fetcher.end_wait();
         }
         if self
-            .unproven
-            .is_some_and(|unproven| unproven.nonce == delta.nonce)
+            .revalidation
+            .is_some_and(|revalidation| revalidation.nonce == delta.nonce)
         {
-            self.proven(now, out);
+            self.end_revalidation(now, out);
         }
     }
 
-    fn follow_roster(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
+    fn update_vm_list(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
         let old: Vec<Member> = self.view.members().to_vec();
-        if delta.roster == 0 || !self.view.follow(delta.roster, delta.members.clone()) {
+        if delta.roster == 0 || !self.view.adopt_vm_list(delta.roster, delta.members.clone()) {
             return;
         }
-        let transfer = must_sync(self.view.place(), &old, self.view.members());
-        self.ledger
-            .follow(delta.roster, self.view.members(), transfer, now);
+        let transfer = needs_transfer(self.view.data_centre(), &old, self.view.members());
+        self.witness
+            .update_members(delta.roster, self.view.members(), transfer, now);
         for member in &old {
             if self.view.member(member.node).is_none() {
-                self.owner.forget(member.node, now, &mut out.letters);
+                self.pools.forget_node(member.node, now, &mut out.messages);
             }
         }
         self.view.refresh(now);
     }
 
-    fn adopt(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
-        match self.book.apply(delta.from, delta.to, &delta.parts) {
+    fn apply_delta(&mut self, delta: &Delta, now: id::Time, out: &mut Outbox) {
+        match self.config.apply(delta.from, delta.to, &delta.parts) {
             Change::Old | Change::Gap => {}
             Change::Adopted(snapshot) => {
-                self.view.prune(&snapshot);
-                self.owner.update(&snapshot);
+                self.view.remove_unconfigured_pools(&snapshot);
+                self.pools.update_config(&snapshot);
                 out.actions.push(Action::Adopted {
-                    revision: self.book.revision(),
+                    revision: self.config.revision(),
                 });
-                // Those who are told first tell others at once: a change must be in force in 4 s.
+                // Gossips at once, without waiting for the next round: a change must be in force
+                // within 4 s.
                 self.gossip(now, out);
             }
             Change::Rejected(errors) => {
