--- /dev/null
+++ b/crates/peridotdeck-relay/src/forwarding.rs
@@ -0,0 +1,421 @@
+//! Forwarding of one caller's request, from its admission to its end.
+
+mod logging;
+
+use std::{
+    pin::pin,
+    sync::{Arc, atomic::Ordering},
+    time::Duration,
+};
+
+use async_io::Timer;
+use async_std::future::timeout;
+use http_body_util::BodyExt;
+use hyper::{
+    Response,
+    body::{Bytes, Incoming},
+    http::response,
+};
+use peridotdeck_core::{
+    Verdict,
+    dispatch::{
+        Key,
+        attempt::{Assignment, Attempt, End, Next, Placement, WaitCause},
+        config::Kind,
+        flight::Flight,
+        refusal::Refusal,
+    },
+};
+
+use crate::{
+    Ingress, Shared, clock,
+    exchange::{self, Failure, Message},
+    ingress::Reply,
+    pool::Connection,
+    stream::{self, Events, Relay},
+};
+
+/// Longest time to read the unused body of a rejection, so that its connection can be kept.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
+
+/// Outcome of a request for the caller.
+#[derive(Debug)]
+pub enum Outcome<I: Ingress> {
+    /// A complete answer of an endpoint.
+    Complete(Response<Bytes>),
+    /// The head of a stream, and the relay of its events.
+    Stream(response::Parts, Box<Relay<I>>),
+    /// No answer, for the reason that the refusal states.
+    Refused(Refusal),
+}
+
+/// A streamed answer of which the first event has arrived.
+#[derive(Debug)]
+pub(crate) struct StartedStream {
+    pub(crate) head: response::Parts,
+    pub(crate) events: Events,
+    /// Rest of the stream; none if it has ended.
+    pub(crate) body: Option<Incoming>,
+    pub(crate) connection: Connection,
+    pub(crate) keep_alive: Option<Duration>,
+}
+
+/// An answer that an attempt received.
+enum Received {
+    /// A complete answer, its connection, and the idle timeout that the endpoint announced.
+    Complete(Response<Bytes>, Connection, Option<Duration>),
+    /// A complete error response of the endpoint, with the same details.
+    Failed(Response<Bytes>, Connection, Option<Duration>),
+    /// A stream that has begun.
+    Stream(Box<StartedStream>),
+}
+
+/// One request, its attempts, and the facts that are logged at its end.
+#[derive(Debug)]
+pub struct Forwarding<I: Ingress> {
+    pub(crate) shared: Arc<Shared<I>>,
+    pub(crate) message: Message,
+    pub(crate) flight: Flight,
+    current_attempt: Option<Attempt>,
+    /// Id of the endpoint of the last attempt.
+    endpoint: String,
+    /// Time from the arrival of the request to the first event that was forwarded.
+    pub(crate) time_to_first: Option<Duration>,
+    /// Longest time between two events that were forwarded.
+    pub(crate) longest_pause: Duration,
+    /// Whether a pause between two events was longer than usual.
+    had_long_pause: bool,
+    attempts: u32,
+    /// Logged reason why the request waits for an endpoint.
+    wait_cause: Option<WaitCause>,
+    ended: bool,
+}
+
+impl<I: Ingress> Forwarding<I> {
+    /// Starts the forwarding of an admitted request.
+    #[must_use]
+    pub fn new(shared: Arc<Shared<I>>, message: Message, flight: Flight) -> Self {
+        shared.open.fetch_add(1, Ordering::Relaxed);
+        Self {
+            shared,
+            message,
+            flight,
+            current_attempt: None,
+            endpoint: String::new(),
+            time_to_first: None,
+            longest_pause: Duration::ZERO,
+            had_long_pause: false,
+            attempts: 0,
+            wait_cause: None,
+            ended: false,
+        }
+    }
+
+    /// Makes attempts until one succeeds or no further one is allowed.
+    pub async fn run(mut self) -> Outcome<I> {
+        let mut placed = self.place().await;
+        loop {
+            let assignment = match placed {
+                Ok(assignment) => assignment,
+                Err(refusal) => return self.refuse(refusal),
+            };
+            match self.make_attempt(&assignment).await {
+                Some(Ok(received)) => match self.handle_answer(&assignment, received) {
+                    Ok(outcome) => return *outcome,
+                    Err(forwarding) => self = *forwarding,
+                },
+                Some(Err(failure)) => {
+                    self.finish_attempt(failure.end, &failure.cause);
+                    if let Next::GiveUp(refusal) = self.next_step(failure.end) {
+                        return self.refuse(refusal);
+                    }
+                }
+                None => {
+                    self.finish_attempt(End::Silent, "slow");
+                    self.flight.runs += 1;
+                }
+            }
+            placed = self.place().await;
+        }
+    }
+
+    /// Returns the outcome for the caller, or the request itself if it should be retried.
+    fn handle_answer(
+        mut self,
+        assignment: &Assignment,
+        received: Received,
+    ) -> Result<Box<Outcome<I>>, Box<Self>> {
+        let key = assignment.attempt.key();
+        match received {
+            Received::Complete(response, connection, keep_alive) => {
+                self.shared.pool.keep(key, connection, keep_alive);
+                self.finish_attempt(End::Finished, "");
+                self.record_end("answered", response.status().as_u16(), "");
+                Ok(Box::new(Outcome::Complete(response)))
+            }
+            Received::Failed(response, connection, keep_alive) => {
+                self.shared.pool.keep(key, connection, keep_alive);
+                self.finish_attempt(End::Failed, "");
+                if self.next_step(End::Failed) == Next::Retry {
+                    return Err(Box::new(self));
+                }
+                self.record_end(
+                    "failed",
+                    response.status().as_u16(),
+                    "endpoint answered with an error",
+                );
+                Ok(Box::new(Outcome::Complete(response)))
+            }
+            Received::Stream(started) => {
+                let head = started.head.clone();
+                let relay = Relay::new(self, key, *started);
+                Ok(Box::new(Outcome::Stream(head, Box::new(relay))))
+            }
+        }
+    }
+
+    /// Makes one attempt at the assigned endpoint.
+    ///
+    /// Returns nothing if the attempt is slow and another endpoint should be tried.
+    async fn make_attempt(&self, assignment: &Assignment) -> Option<Result<Received, Failure>> {
+        let work =
+            Self::receive_answer(&self.shared, &self.message, &self.flight, assignment, None);
+        let mut work = pin!(work);
+        if let Some(hedge_after) = assignment.hedge_after {
+            if let Ok(result) = timeout(hedge_after, work.as_mut()).await {
+                return Some(result);
+            }
+            let now = clock::now();
+            if self.shared.dispatcher().try_hedge(&self.flight, now) {
+                return None;
+            }
+        }
+        Some(work.await)
+    }
+
+    /// Sends the request to the assigned endpoint and receives its answer or the start of its stream.
+    async fn receive_answer(
+        shared: &Arc<Shared<I>>,
+        message: &Message,
+        flight: &Flight,
+        assignment: &Assignment,
+        resume: Option<&str>,
+    ) -> Result<Received, Failure> {
+        let answer = exchange::send(shared, message, flight, assignment, resume).await?;
+        let (head, mut body) = answer.response.into_parts();
+        let (connection, keep_alive) = (answer.connection, answer.keep_alive);
+        let end = match answer.reply {
+            Reply::Answer if flight.route.kind == Kind::Stream => {
+                // Until the first event is forwarded, another endpoint may still answer instead.
+                let mut events = Events::default();
+                let continues = read_first_event(&mut body, &mut events, flight).await?;
+                return Ok(Received::Stream(Box::new(StartedStream {
+                    head,
+                    events,
+                    body: continues.then_some(body),
+                    connection,
+                    keep_alive,
+                })));
+            }
+            Reply::Answer | Reply::Failure => {
+                let body = read_body(body, flight).await?;
+                let response = Response::from_parts(head, body);
+                return Ok(if answer.reply == Reply::Answer {
+                    Received::Complete(response, connection, keep_alive)
+                } else {
+                    Received::Failed(response, connection, keep_alive)
+                });
+            }
+            Reply::Unclear => End::Failed,
+            Reply::Rejected => End::Rejected,
+            Reply::Misdirected | Reply::Foreign => End::Misdirected,
+        };
+        let cause = format!("status {}", head.status.as_u16());
+        if end == End::Rejected {
+            let rest = timeout(DRAIN_TIMEOUT, body.collect()).await;
+            if matches!(rest, Ok(Ok(_))) {
+                shared
+                    .pool
+                    .keep(assignment.attempt.key(), connection, keep_alive);
+            }
+        }
+        Err(Failure { end, cause })
+    }
+
+    /// Waits until the dispatcher assigns an endpoint or refuses the request.
+    pub(crate) async fn place(&mut self) -> Result<Assignment, Refusal> {
+        loop {
+            let now = clock::now();
+            let placement = self.shared.dispatcher().place(&mut self.flight, now);
+            match placement {
+                Placement::Send(assignment) => {
+                    self.current_attempt = Some(assignment.attempt.clone());
+                    self.attempts += 1;
+                    self.endpoint.clone_from(&assignment.instance);
+                    self.log_placed(&assignment);
+                    return Ok(assignment);
+                }
+                Placement::Wait(delay) => {
+                    self.log_waiting(&delay);
+                    Timer::after(delay.time).await;
+                }
+                Placement::Refuse(refusal, exclusions) => {
+                    self.log_unplaced(&exclusions);
+                    return Err(refusal);
+                }
+            }
+        }
+    }
+
+    /// Resumes a broken stream at another endpoint, after the event with the id `last`.
+    ///
+    /// Returns the key of the endpoint and the stream. Without an id the endpoint starts the stream anew.
+    pub(crate) async fn resume(
+        &mut self,
+        last: Option<&str>,
+    ) -> Result<(Key, StartedStream), Refusal> {
+        loop {
+            let assignment = self.place().await?;
+            let work =
+                Self::receive_answer(&self.shared, &self.message, &self.flight, &assignment, last)
+                    .await;
+            let failure = match work {
+                Ok(Received::Stream(started)) => return Ok((assignment.attempt.key(), *started)),
+                Ok(_) => Failure::new(End::Failed, "answer is not a stream"),
+                Err(failure) => failure,
+            };
+            self.finish_attempt(failure.end, &failure.cause);
+            if let Next::GiveUp(refusal) = self.next_step(failure.end) {
+                return Err(refusal);
+            }
+        }
+    }
+
+    /// Records that the answer has begun.
+    pub(crate) fn record_answer_start(&mut self) {
+        let now = clock::now();
+        let plain = self.flight.route.kind != Kind::Stream;
+        if let Some(attempt) = &mut self.current_attempt {
+            let mut dispatcher = self.shared.dispatcher();
+            dispatcher.record_answer_start(attempt, plain, &self.flight, now);
+        }
+    }
+
+    /// Records a pause between two events.
+    ///
+    /// Each new longest pause is reported to the dispatcher at once, until one was longer than usual.
+    /// Nothing is reported after a second attempt, because another endpoint had to take over.
+    pub(crate) fn record_pause(&mut self, pause: Duration) {
+        if pause <= self.longest_pause {
+            return;
+        }
+        self.longest_pause = pause;
+        if self.attempts == 1 && !self.had_long_pause {
+            let mut dispatcher = self.shared.dispatcher();
+            self.had_long_pause = dispatcher.record_pause(&self.flight.service, pause);
+        }
+    }
+
+    /// Reports a complete stream to the dispatcher, if its only attempt had no long pause.
+    pub(crate) fn record_stream_end(&self) {
+        if self.attempts == 1 && !self.had_long_pause {
+            let mut dispatcher = self.shared.dispatcher();
+            dispatcher.record_steady_stream(&self.flight.service);
+        }
+    }
+
+    /// Ends the attempt in progress, and returns it to the dispatcher with its outcome.
+    pub(crate) fn finish_attempt(&mut self, end: End, cause: &str) {
+        let Some(mut attempt) = self.current_attempt.take() else {
+            return;
+        };
+        let now = clock::now();
+        let plain = self.flight.route.kind != Kind::Stream;
+        let mut dispatcher = self.shared.dispatcher();
+        if plain && end == End::Finished {
+            dispatcher.record_answer_start(&mut attempt, plain, &self.flight, now);
+        }
+        dispatcher.finish(&attempt, end, &self.flight, now);
+        drop(dispatcher);
+        self.shared
+            .metrics
+            .attempted(&self.flight.service, end.into());
+        if end != End::Finished {
+            log::info!(
+                "event=attempt_ended id={} endpoint={} key={:08x} end={end} ms={} cause=\"{cause}\"",
+                self.flight.id,
+                self.endpoint,
+                attempt.key(),
+                now.saturating_sub(attempt.sent()).as_millis(),
+            );
+        }
+    }
+
+    /// Returns the dispatcher's decision after a failed attempt.
+    pub(crate) fn next_step(&mut self, end: End) -> Next {
+        let now = clock::now();
+        self.shared
+            .dispatcher()
+            .next_step(&mut self.flight, end, now)
+    }
+
+    /// Ends the request without an answer.
+    fn refuse(mut self, refusal: Refusal) -> Outcome<I> {
+        let outcome = match refusal.verdict {
+            Verdict::NotRun => "refused",
+            Verdict::MayHaveRun | Verdict::Ran => "failed",
+        };
+        self.record_refusal(outcome, &refusal);
+        Outcome::Refused(refusal)
+    }
+}
+
+impl<I: Ingress> Drop for Forwarding<I> {
+    fn drop(&mut self) {
+        if !self.ended {
+            self.finish_attempt(End::Cancelled, "caller disconnected");
+            self.record_end("cancelled", 0, "caller disconnected");
+        }
+        self.shared.open.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
+/// Runs `work` until the deadline of the request.
+async fn before_deadline<T>(
+    flight: &Flight,
+    work: impl Future<Output = Result<T, Failure>>,
+) -> Result<T, Failure> {
+    let done = timeout(flight.time_left(clock::now()), work).await;
+    done.unwrap_or_else(|_| Err(Failure::new(End::TimedOut, "answer not complete in time")))
+}
+
+/// Reads a complete body before the deadline of the request.
+async fn read_body(body: Incoming, flight: &Flight) -> Result<Bytes, Failure> {
+    let read = async {
+        match body.collect().await {
+            Ok(collected) => Ok(collected.to_bytes()),
+            Err(cause) => Err(Failure::new(End::Broken, &cause)),
+        }
+    };
+    before_deadline(flight, read).await
+}
+
+/// Reads up to the first complete event, and returns whether more may follow.
+async fn read_first_event(
+    body: &mut Incoming,
+    events: &mut Events,
+    flight: &Flight,
+) -> Result<bool, Failure> {
+    let read = async {
+        loop {
+            match stream::read_data(body).await? {
+                None => return Ok(false),
+                Some(bytes) => events.push(&bytes),
+            }
+            if events.has_complete() {
+                return Ok(true);
+            }
+        }
+    };
+    before_deadline(flight, read).await
+}
