--- a/crates/peridotdeck-relay/src/control.rs
+++ b/crates/peridotdeck-relay/src/control.rs
@@ -70,10 +70,10 @@
     let now = clock::now();
     let dispatcher = shared.dispatcher();
     let metrics = &shared.metrics;
-    metrics.show("endpoints", dispatcher.states().len() as u64);
-    metrics.show("peers", dispatcher.fleet().members(now).len() as u64);
-    metrics.show("prefixes", dispatcher.prefix_count() as u64);
-    metrics.show("kept_connections", shared.pool.len() as u64);
+    metrics.set_state("endpoints", dispatcher.states().len() as u64);
+    metrics.set_state("peers", dispatcher.fleet().members(now).len() as u64);
+    metrics.set_state("prefixes", dispatcher.prefix_count() as u64);
+    metrics.set_state("kept_connections", shared.pool.len() as u64);
 }
 
 fn snapshot<I: Ingress>(shared: &Shared<I>, area: Area, known: u64) -> Response<Full<Bytes>> {
--- a/crates/peridotdeck-relay/src/exchange.rs
+++ b/crates/peridotdeck-relay/src/exchange.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Ingress, Shared, clock,
-    fetch::Source,
+    fetch::Client,
     ingress::Reply,
     pool::{self, Link},
 };
@@ -162,7 +162,7 @@
 ) -> Result<Link, pool::Error> {
     let watch = Arc::clone(shared);
     let dialed = pool::dial(address, move || watch.suspect(key)).await;
-    shared.metrics.dialed(dialed.is_ok());
+    shared.metrics.count_dial(dialed.is_ok());
     dialed
 }
 
@@ -185,7 +185,7 @@
     let Some(path) = shared.ingress.inventory_path() else {
         return;
     };
-    let read = Source::new(query.address).get(path, INQUIRY).await;
+    let read = Client::new(query.address).get(path, INQUIRY).await;
     let listed = match read {
         Ok(body) => shared
             .ingress
--- a/crates/peridotdeck-relay/src/fetch.rs
+++ b/crates/peridotdeck-relay/src/fetch.rs
@@ -17,7 +17,7 @@
     #[derive(Debug)]
     pub enum Error {
         /// No connection was opened.
-        Dial(cause: pool::Error) {
+        Connect(cause: pool::Error) {
             display("{cause}")
             from()
             source(cause)
@@ -37,7 +37,7 @@
             display("the answer was {status}")
         }
         /// The answer did not come in time.
-        Late {
+        TimedOut {
             display("no answer in time")
         }
     }
@@ -45,12 +45,12 @@
 
 /// A peer or a publisher that is read.
 #[derive(Debug)]
-pub struct Source {
+pub struct Client {
     address: SocketAddrV4,
     link: Option<Link>,
 }
 
-impl Source {
+impl Client {
     /// Names where to read; the connection is opened with the first read.
     #[must_use]
     pub fn new(address: SocketAddrV4) -> Self {
@@ -80,7 +80,7 @@
             let body = body.map_err(|cause| Error::Invalid(cause.to_string()))?;
             Ok((link, head.status, body.to_bytes()))
         };
-        let read: Result<_, Error> = timeout(time, work).await.unwrap_or(Err(Error::Late));
+        let read: Result<_, Error> = timeout(time, work).await.unwrap_or(Err(Error::TimedOut));
         let (link, status, body) = read?;
         self.link = Some(link);
         if status == StatusCode::OK {
--- a/crates/peridotdeck-relay/src/front.rs
+++ b/crates/peridotdeck-relay/src/front.rs
@@ -177,7 +177,7 @@
 }
 
 fn log_refused<I: Ingress>(shared: &Shared<I>, id: Option<&str>, refusal: &Refusal, arrived: Time) {
-    shared.metrics.ended("", "refused");
+    shared.metrics.count_request("", "refused");
     let dispatcher = shared.dispatcher();
     let registry = dispatcher.registry();
     let version = registry.config().map_or(0, |each| each.version);
--- a/crates/peridotdeck-relay/src/journey.rs
+++ b/crates/peridotdeck-relay/src/journey.rs
@@ -91,7 +91,7 @@
     /// Starts with an admitted request.
     #[must_use]
     pub fn new(shared: Arc<Shared<I>>, message: Message, flight: Flight) -> Self {
-        shared.open.fetch_add(1, Ordering::Relaxed);
+        shared.open_requests.fetch_add(1, Ordering::Relaxed);
         Self {
             shared,
             message,
@@ -317,7 +317,7 @@
         drop(dispatcher);
         self.shared
             .metrics
-            .attempted(&self.flight.service, end.into());
+            .count_attempt(&self.flight.service, end.into());
         if end != End::Finished {
             log::info!(
                 "event=attempt_ended id={} endpoint={} key={:08x} end={end} ms={} cause=\"{cause}\"",
@@ -353,7 +353,7 @@
             self.finish(End::Cancelled, "caller left");
             self.end("cancelled", 0, "caller left");
         }
-        self.shared.open.fetch_sub(1, Ordering::Relaxed);
+        self.shared.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/peridotdeck-relay/src/journey/account.rs
+++ b/crates/peridotdeck-relay/src/journey/account.rs
@@ -28,10 +28,14 @@
         }
         let flight = &self.flight;
         let time = clock::now().saturating_sub(flight.arrived);
-        self.shared.metrics.ended(&flight.route.name, outcome);
+        self.shared
+            .metrics
+            .count_request(&flight.route.name, outcome);
         if outcome == "answered" {
             let (class, organisation) = (&flight.route.name, flight.organisation_name());
-            self.shared.metrics.whole(class, organisation, time);
+            self.shared
+                .metrics
+                .observe_whole_answer(class, organisation, time);
         }
         log::info!(
             "event=request_ended id={} route={} organisation={} version={} outcome={outcome} \
--- a/crates/peridotdeck-relay/src/metrics.rs
+++ b/crates/peridotdeck-relay/src/metrics.rs
@@ -102,50 +102,50 @@
     }
 
     /// Counts the end of a request.
-    pub fn ended(&self, class: &str, outcome: &str) {
+    pub fn count_request(&self, class: &str, outcome: &str) {
         self.requests.with_label_values(&[class, outcome]).inc();
     }
 
     /// Counts the time to the first part of an answer.
-    pub fn first(&self, class: &str, organisation: &str, time: Duration) {
+    pub fn observe_first_answer(&self, class: &str, organisation: &str, time: Duration) {
         let series = self.first.with_label_values(&[class, organisation]);
         series.observe(time.as_secs_f64());
     }
 
     /// Counts the time to the end of an answer.
-    pub fn whole(&self, class: &str, organisation: &str, time: Duration) {
+    pub fn observe_whole_answer(&self, class: &str, organisation: &str, time: Duration) {
         let series = self.whole.with_label_values(&[class, organisation]);
         series.observe(time.as_secs_f64());
     }
 
     /// Counts the end of an attempt.
-    pub fn attempted(&self, service: &str, end: &str) {
+    pub fn count_attempt(&self, service: &str, end: &str) {
         self.attempts.with_label_values(&[service, end]).inc();
     }
 
     /// Counts a connection to an endpoint.
-    pub fn dialed(&self, accepted: bool) {
+    pub fn count_dial(&self, accepted: bool) {
         let label = if accepted { "yes" } else { "no" };
         self.dials.with_label_values(&[label]).inc();
     }
 
     /// Counts a failed read of what is published.
-    pub fn publisher_failed(&self, area: &str) {
+    pub fn count_publisher_failure(&self, area: &str) {
         self.publisher.with_label_values(&[area]).inc();
     }
 
     /// Counts messages between nodes.
-    pub fn messages(&self, kind: &str, count: u64) {
+    pub fn count_peer_messages(&self, kind: &str, count: u64) {
         self.peers.with_label_values(&[kind]).inc_by(count);
     }
 
     /// Shows the configuration in force.
-    pub fn adopted(&self, version: u64) {
-        self.show("config_version", version);
+    pub fn set_config_version(&self, version: u64) {
+        self.set_state("config_version", version);
     }
 
     /// Shows a figure of the node's state.
-    pub fn show(&self, of: &str, value: u64) {
+    pub fn set_state(&self, of: &str, value: u64) {
         let value = i64::try_from(value).unwrap_or(i64::MAX);
         self.state.with_label_values(&[of]).set(value);
     }
--- a/crates/peridotdeck-relay/src/node.rs
+++ b/crates/peridotdeck-relay/src/node.rs
@@ -55,7 +55,7 @@
     /// Address of the figures.
     pub metrics: SocketAddr,
     /// Time from the signal to leave until the process is killed.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// What decisions need to know.
     pub dispatch: dispatcher::Options,
 }
@@ -95,7 +95,7 @@
     let left = task::spawn(leave(
         signals,
         Arc::clone(&shared),
-        options.grace,
+        options.grace_period,
         closing,
         reload,
     ));
@@ -144,7 +144,7 @@
         }
         let due = shared.dispatcher().tick(clock::now());
         for endpoint in &due.removed {
-            shared.note_removed(endpoint, "lapse");
+            shared.handle_removal(endpoint, "lapse");
         }
         for node in &due.silent {
             log::info!("event=peer_silent node={node}");
@@ -175,7 +175,7 @@
 async fn leave<I: Ingress, R>(
     mut signals: Signals,
     shared: Arc<Shared<I>>,
-    grace: Duration,
+    grace_period: Duration,
     closing: async_channel::Sender<()>,
     reload: R,
 ) where
@@ -198,12 +198,12 @@
             shared.dispatcher().set_seeds(&seeds, clock::now());
         }
     }
-    let open = || shared.open.load(Ordering::Relaxed);
+    let open = || shared.open_requests.load(Ordering::Relaxed);
     log::info!("event=leaving open={}", open());
     shared.dispatcher().leave();
     Timer::after(LINGER).await;
     drop(closing);
-    let cut = grace.saturating_sub(LINGER + MARGIN);
+    let cut = grace_period.saturating_sub(LINGER + MARGIN);
     let until = clock::now() + cut;
     while open() > 0 && clock::now() < until {
         Timer::after(TICK).await;
@@ -215,6 +215,6 @@
 
 /// Returns a random number for a new process.
 #[must_use]
-pub fn incarnation() -> u64 {
+pub fn random_incarnation() -> u64 {
     rand::random()
 }
--- a/crates/peridotdeck-relay/src/peers.rs
+++ b/crates/peridotdeck-relay/src/peers.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Ingress, Shared, clock,
-    fetch::{self, Source},
+    fetch::{self, Client},
 };
 
 /// Longest time for an errand.
@@ -84,9 +84,9 @@
                 Ok(beat) if from.ip() == Node::from(beat.node) => {
                     self.take_in(&shared, &beat).await;
                 }
-                Ok(_) => shared.metrics.messages("foreign", 1),
+                Ok(_) => shared.metrics.count_peer_messages("foreign", 1),
                 Err(cause) => {
-                    shared.metrics.messages("malformed", 1);
+                    shared.metrics.count_peer_messages("malformed", 1);
                     log::debug!("event=peer_malformed from={from} cause=\"{cause}\"");
                 }
             }
@@ -94,7 +94,7 @@
     }
 
     async fn take_in<I: Ingress>(&self, shared: &Shared<I>, beat: &Beat) {
-        shared.metrics.messages("received", 1);
+        shared.metrics.count_peer_messages("received", 1);
         let node = Node::from(beat.node);
         let (answer, joined) = shared.dispatcher().receive(beat, clock::now());
         if joined {
@@ -119,7 +119,7 @@
                 return;
             }
         };
-        shared.metrics.messages("sent", 1);
+        shared.metrics.count_peer_messages("sent", 1);
         let address = SocketAddrV4::new(node, self.port);
         if let Err(cause) = self.socket.send_to(&bytes, address).await {
             log::debug!("event=peer_send_failed node={node} cause=\"{cause}\"");
@@ -133,7 +133,7 @@
             Ok(snapshot) => {
                 let change = shared.dispatcher().adopt(snapshot, clock::now());
                 log::info!("event=peer_asked node={node} area={area} known={known}");
-                shared.note_change(&change, "peer");
+                shared.handle_change(&change, "peer");
             }
             Err(cause) => {
                 log::info!("event=peer_ask_failed node={node} area={area} cause=\"{cause}\"");
@@ -147,7 +147,7 @@
             Area::Policy => "/fleet/policy".to_owned(),
             Area::Roster => format!("/fleet/roster?known={}", request.known),
         };
-        let body = Source::new(address).get(&path, PATIENCE).await?;
+        let body = Client::new(address).get(&path, PATIENCE).await?;
         Ok(postcard::from_bytes(&body)?)
     }
 }
--- a/crates/peridotdeck-relay/src/publisher.rs
+++ b/crates/peridotdeck-relay/src/publisher.rs
@@ -10,13 +10,13 @@
     fn report(&self, report: Report);
 
     /// Reports that an area cannot be read, and why.
-    fn trouble(&self, area: Area, cause: &str);
+    fn report_failure(&self, area: Area, cause: &str);
 
     /// Reports that an area can be read again.
-    fn recovered(&self, area: Area);
+    fn report_recovery(&self, area: Area);
 
     /// Returns whether the node wants to read the source itself; else it learns from peers.
-    fn is_reading(&self) -> bool;
+    fn should_watch(&self) -> bool;
 
     /// Returns the newest revision of an area that the node knows, by any way.
     fn revision(&self, area: Area) -> u64;
--- a/crates/peridotdeck-relay/src/shared.rs
+++ b/crates/peridotdeck-relay/src/shared.rs
@@ -25,7 +25,7 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Requests in progress.
-    pub open: AtomicU32,
+    pub open_requests: AtomicU32,
     dispatcher: Mutex<Dispatcher>,
     troubled: [AtomicU32; 2],
 }
@@ -38,7 +38,7 @@
             ingress,
             pool: Pool::default(),
             metrics: Metrics::new(),
-            open: AtomicU32::new(0),
+            open_requests: AtomicU32::new(0),
             dispatcher: Mutex::new(dispatcher),
             troubled: Default::default(),
         }
@@ -58,10 +58,10 @@
     }
 
     /// Logs a change and closes what it makes useless.
-    pub fn note_change(&self, change: &Change, source: &str) {
+    pub fn handle_change(&self, change: &Change, source: &str) {
         if let Some(version) = change.version {
             log::info!("event=config_adopted version={version} source={source}");
-            self.metrics.adopted(version);
+            self.metrics.set_config_version(version);
         }
         for place in &change.closed {
             log::info!("event=data_centre_closed place={place} source={source}");
@@ -73,12 +73,12 @@
             log_endpoint("endpoint_updated", endpoint, source);
         }
         for endpoint in &change.removed {
-            self.note_removed(endpoint, source);
+            self.handle_removal(endpoint, source);
         }
     }
 
     /// Logs that an endpoint left the list and closes its connections.
-    pub fn note_removed(&self, endpoint: &Endpoint, source: &str) {
+    pub fn handle_removal(&self, endpoint: &Endpoint, source: &str) {
         log_endpoint("endpoint_removed", endpoint, source);
         self.pool.forget(endpoint.key());
     }
@@ -114,26 +114,26 @@
 impl<I: Ingress> Sink for Shared<I> {
     fn report(&self, report: Report) {
         let change = self.dispatcher().apply_report(report, clock::now());
-        self.note_change(&change, "publisher");
+        self.handle_change(&change, "publisher");
     }
 
-    fn trouble(&self, area: Area, cause: &str) {
+    fn report_failure(&self, area: Area, cause: &str) {
         let count = self.area(area).fetch_add(1, Ordering::Relaxed);
         if count == 0 {
             log::warn!("event=publisher_lost area={area} cause=\"{cause}\"");
         }
-        self.metrics.publisher_failed(area.into());
+        self.metrics.count_publisher_failure(area.into());
         self.dispatcher().note_publisher_failure(clock::now());
     }
 
-    fn recovered(&self, area: Area) {
+    fn report_recovery(&self, area: Area) {
         let failures = self.area(area).swap(0, Ordering::Relaxed);
         if failures > 0 {
             log::info!("event=publisher_regained area={area} failures={failures}");
         }
     }
 
-    fn is_reading(&self) -> bool {
+    fn should_watch(&self) -> bool {
         self.dispatcher().is_watcher(clock::now())
     }
 
--- a/crates/peridotdeck-relay/src/stream.rs
+++ b/crates/peridotdeck-relay/src/stream.rs
@@ -122,7 +122,7 @@
             let flight = &self.journey.flight;
             let time = now.saturating_sub(flight.arrived);
             let metrics = &self.journey.shared.metrics;
-            metrics.first(&flight.route.name, flight.organisation_name(), time);
+            metrics.observe_first_answer(&flight.route.name, flight.organisation_name(), time);
             self.journey.first = Some(time);
         } else {
             let pause = now.saturating_sub(self.sent);
