--- a/crates/peridotdeck-relay/src/clock.rs
+++ b/crates/peridotdeck-relay/src/clock.rs
@@ -1,13 +1,13 @@
-//! Time that includes the suspension of the machine.
+//! Monotonic clock that keeps running while the VM is suspended.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Returns the time since the machine started, suspension included.
+/// Returns the time since the VM booted, including the time for which it was suspended.
 ///
-/// The steady clock stands still while a machine is suspended, so deadlines and ages would be too
-/// young after it wakes; the time of day jumps.
+/// The usual monotonic clock stops during a suspension: after it, deadlines would come too late and
+/// ages would be too low. The wall clock can jump.
 #[must_use]
 pub fn now() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
--- a/crates/peridotdeck-relay/src/control.rs
+++ b/crates/peridotdeck-relay/src/control.rs
@@ -1,4 +1,4 @@
-//! Questions about this node: readiness, state, figures, and what peers fetch.
+//! HTTP service of the node itself: health checks, metrics, state, and snapshots for peers.
 
 use std::{fmt::Write as _, sync::Arc};
 
@@ -12,9 +12,11 @@
 
 use crate::{Ingress, Shared, clock};
 
-/// Answers one question. `ready` is the path at which the balancer asks.
+/// Responds to a request to one of the node's own addresses.
+///
+/// `ready` is the path of the load balancer's readiness check, besides `/readyz`.
 #[must_use]
-pub fn answer<I: Ingress>(
+pub fn respond<I: Ingress>(
     shared: &Arc<Shared<I>>,
     request: &Request<Incoming>,
     ready: &str,
@@ -22,32 +24,32 @@
     let path = request.uri().path();
     let query = request.uri().query().unwrap_or_default();
     if path == ready || path == "/readyz" {
-        return readiness(shared.dispatcher().is_ready());
+        return readiness_response(shared.dispatcher().is_ready());
     }
     match path {
-        "/healthz" => text(StatusCode::OK, "ok\n"),
-        "/metrics" => metrics(shared),
-        "/status" => text(StatusCode::OK, status(&shared.dispatcher())),
+        "/healthz" => text_response(StatusCode::OK, "ok\n"),
+        "/metrics" => metrics_response(shared),
+        "/status" => text_response(StatusCode::OK, status(&shared.dispatcher())),
         "/explain" => explain(&shared.dispatcher(), query),
-        "/fleet/policy" => snapshot(shared, Area::Policy, 0),
+        "/fleet/policy" => snapshot_response(shared, Area::Policy, 0),
         "/fleet/roster" => {
-            let known = field(query, "known").and_then(|known| known.parse().ok());
-            // Who names no revision knows nothing.
-            snapshot(shared, Area::Roster, known.unwrap_or(0))
+            let known = parameter(query, "known").and_then(|known| known.parse().ok());
+            // A peer that names no revision has none yet, which counts as revision 0.
+            snapshot_response(shared, Area::Roster, known.unwrap_or(0))
         }
-        _ => text(StatusCode::NOT_FOUND, "unknown path\n"),
+        _ => text_response(StatusCode::NOT_FOUND, "unknown path\n"),
     }
 }
 
-fn readiness(ready: bool) -> Response<Full<Bytes>> {
+fn readiness_response(ready: bool) -> Response<Full<Bytes>> {
     if ready {
-        text(StatusCode::OK, "ready\n")
+        text_response(StatusCode::OK, "ready\n")
     } else {
-        text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+        text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
     }
 }
 
-fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     let plain = HeaderValue::from_static("text/plain; charset=utf-8");
@@ -55,18 +57,19 @@
     response
 }
 
-fn metrics<I: Ingress>(shared: &Shared<I>) -> Response<Full<Bytes>> {
-    show_state(shared);
+fn metrics_response<I: Ingress>(shared: &Shared<I>) -> Response<Full<Bytes>> {
+    update_gauges(shared);
     match shared.metrics.render() {
-        Ok(bytes) => text(StatusCode::OK, bytes),
+        Ok(bytes) => text_response(StatusCode::OK, bytes),
         Err(cause) => {
             log::warn!("event=metrics_failed cause=\"{cause}\"");
-            text(StatusCode::INTERNAL_SERVER_ERROR, cause.to_string())
+            text_response(StatusCode::INTERNAL_SERVER_ERROR, cause.to_string())
         }
     }
 }
 
-fn show_state<I: Ingress>(shared: &Shared<I>) {
+/// Sets the gauges of the node's state, just before the metrics are rendered.
+fn update_gauges<I: Ingress>(shared: &Shared<I>) {
     let now = clock::now();
     let dispatcher = shared.dispatcher();
     let metrics = &shared.metrics;
@@ -76,36 +79,43 @@
     metrics.set_state("kept_connections", shared.pool.len() as u64);
 }
 
-fn snapshot<I: Ingress>(shared: &Shared<I>, area: Area, known: u64) -> Response<Full<Bytes>> {
+fn snapshot_response<I: Ingress>(
+    shared: &Shared<I>,
+    area: Area,
+    known: u64,
+) -> Response<Full<Bytes>> {
     let snapshot = shared
         .dispatcher()
         .registry()
         .snapshot(area, known, clock::now());
     match postcard::to_stdvec(&snapshot) {
-        Ok(bytes) => text(StatusCode::OK, bytes),
+        Ok(bytes) => text_response(StatusCode::OK, bytes),
         Err(cause) => {
             log::warn!("event=snapshot_failed area={area} cause=\"{cause}\"");
-            text(StatusCode::INTERNAL_SERVER_ERROR, cause.to_string())
+            text_response(StatusCode::INTERNAL_SERVER_ERROR, cause.to_string())
         }
     }
 }
 
-/// Returns the value of a query's field.
-fn field<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    let mut fields = query.split('&').filter_map(|field| field.split_once('='));
-    let found = fields.find(|(each, _)| *each == name);
+/// Returns the value of a query parameter.
+fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    let found = pairs.find(|(key, _)| *key == name);
     found.map(|(_, value)| value)
 }
 
-/// Lists what each endpoint would do for a request, by `route=NAME&tokens=NUMBER`.
+/// Lists the estimate of each endpoint for a hypothetical request, or why it is excluded.
+///
+/// The query is `route=NAME&tokens=NUMBER`; the number is the length of the prompt. The endpoints
+/// are those of the route's first service.
 fn explain(dispatcher: &Dispatcher, query: &str) -> Response<Full<Bytes>> {
-    let route = field(query, "route").unwrap_or_default();
-    let tokens = field(query, "tokens").map_or(Ok(0), str::parse);
+    let route = parameter(query, "route").unwrap_or_default();
+    let tokens = parameter(query, "tokens").map_or(Ok(0), str::parse);
     let Ok(tokens) = tokens else {
-        return text(StatusCode::BAD_REQUEST, "tokens: write a whole number\n");
+        return text_response(StatusCode::BAD_REQUEST, "tokens: write a whole number\n");
     };
     let Some(endpoints) = dispatcher.explain(route, tokens, clock::now()) else {
-        return text(
+        return text_response(
             StatusCode::NOT_FOUND,
             format!("route={route} is not configured\n"),
         );
@@ -113,7 +123,7 @@
     let mut lines = String::new();
     for (endpoint, estimate) in endpoints {
         match estimate {
-            Ok(estimate) => line(
+            Ok(estimate) => push_line(
                 &mut lines,
                 format_args!(
                     "endpoint={endpoint} score={:.0} first_ms={} unread={}",
@@ -122,13 +132,18 @@
                     estimate.unread
                 ),
             ),
-            Err(bar) => line(&mut lines, format_args!("endpoint={endpoint} barred={bar}")),
+            Err(cause) => push_line(
+                &mut lines,
+                format_args!("endpoint={endpoint} barred={cause}"),
+            ),
         }
     }
-    text(StatusCode::OK, lines)
+    text_response(StatusCode::OK, lines)
 }
 
-/// Lists what the node knows, one line of key=value pairs a thing.
+/// Describes the node's state in lines of key=value pairs.
+///
+/// The first line is about the node itself. One line for each peer and each endpoint follows.
 fn status(dispatcher: &Dispatcher) -> String {
     let now = clock::now();
     let registry = dispatcher.registry();
@@ -140,12 +155,15 @@
         dispatcher.is_ready(),
         registry.closed().join(","),
     );
-    for (node, place) in dispatcher.fleet().members(now) {
-        line(&mut lines, format_args!("peer={node} place={place:08x}"));
+    for (node, data_centre) in dispatcher.fleet().members(now) {
+        push_line(
+            &mut lines,
+            format_args!("peer={node} place={data_centre:08x}"),
+        );
     }
     for state in dispatcher.states() {
         let load = state.load();
-        line(
+        push_line(
             &mut lines,
             format_args!(
                 "endpoint={} key={:08x} service={} place={} draining={} cold={} resting={} \
@@ -169,7 +187,7 @@
     lines
 }
 
-fn line(lines: &mut String, line: std::fmt::Arguments<'_>) {
-    // Writing to a string cannot fail.
+fn push_line(lines: &mut String, line: std::fmt::Arguments<'_>) {
+    // Writing to a `String` never fails.
     let _ = writeln!(lines, "{line}");
 }
--- a/crates/peridotdeck-relay/src/fetch.rs
+++ b/crates/peridotdeck-relay/src/fetch.rs
@@ -1,4 +1,6 @@
-//! One read on a connection of its own or on an open one, with a limit of time and size.
+//! HTTP client for GET requests to a peer, the publisher or an endpoint.
+//!
+//! The time of a request and the size of a response are limited.
 
 use std::{net::SocketAddrV4, time::Duration};
 
@@ -9,11 +11,11 @@
 
 use crate::pool::{self, Link};
 
-/// Largest answer.
-const MOST_BYTES: usize = 16 << 20;
+/// Largest body of a response.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 quick_error! {
-    /// Why a read brought nothing.
+    /// Reason why a request returned no body.
     #[derive(Debug)]
     pub enum Error {
         /// No connection was opened.
@@ -22,28 +24,28 @@
             from()
             source(cause)
         }
-        /// The connection broke.
+        /// The connection broke, or the response was malformed.
         Broken(cause: hyper::Error) {
-            display("connection broke: {cause}")
+            display("request failed: {cause}")
             from()
             source(cause)
         }
-        /// The path cannot be asked for, or the answer exceeds the limit.
+        /// The path is invalid, or the body broke off or exceeds the size limit.
         Invalid(cause: String) {
             display("{cause}")
         }
-        /// The answer is a refusal.
+        /// The status of the response is not 200.
         Status(status: StatusCode) {
-            display("the answer was {status}")
+            display("server answered with status {status}")
         }
-        /// The answer did not come in time.
+        /// The response was not complete in time.
         TimedOut {
-            display("no answer in time")
+            display("response not complete in time")
         }
     }
 }
 
-/// A peer or a publisher that is read.
+/// Client of one server, with at most one open connection.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddrV4,
@@ -51,7 +53,7 @@
 }
 
 impl Client {
-    /// Names where to read; the connection is opened with the first read.
+    /// Creates a client without a connection; the first request opens it.
     #[must_use]
     pub fn new(address: SocketAddrV4) -> Self {
         Self {
@@ -60,14 +62,17 @@
         }
     }
 
-    /// Reads a path within a time. The connection is kept if there is a whole answer.
+    /// Requests a path and returns the body of the response.
+    ///
+    /// `time_limit` covers connecting, the request and the complete response. The connection is kept
+    /// for the next request if the response was complete.
     ///
     /// # Errors
-    /// If there is no whole answer in time, or a refusal.
-    pub async fn get(&mut self, path: &str, time: Duration) -> Result<Bytes, Error> {
-        let link = self.link.take().filter(|link| link.sender.is_ready());
-        let work = async {
-            let mut link = match link {
+    /// Returns an error if the response is not complete in time, or its status is not 200.
+    pub async fn get(&mut self, path: &str, time_limit: Duration) -> Result<Bytes, Error> {
+        let idle = self.link.take().filter(|link| link.sender.is_ready());
+        let exchange = async {
+            let mut link = match idle {
                 Some(link) => link,
                 None => pool::dial(self.address, || ()).await?,
             };
@@ -76,12 +81,14 @@
                 .body(Full::new(Bytes::new()))
                 .map_err(|cause| Error::Invalid(cause.to_string()))?;
             let (head, body) = link.sender.send_request(request).await?.into_parts();
-            let body = Limited::new(body, MOST_BYTES).collect().await;
+            let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
             let body = body.map_err(|cause| Error::Invalid(cause.to_string()))?;
             Ok((link, head.status, body.to_bytes()))
         };
-        let read: Result<_, Error> = timeout(time, work).await.unwrap_or(Err(Error::TimedOut));
-        let (link, status, body) = read?;
+        let result: Result<_, Error> = timeout(time_limit, exchange)
+            .await
+            .unwrap_or(Err(Error::TimedOut));
+        let (link, status, body) = result?;
         self.link = Some(link);
         if status == StatusCode::OK {
             Ok(body)
--- a/crates/peridotdeck-relay/src/lib.rs
+++ b/crates/peridotdeck-relay/src/lib.rs
@@ -1,17 +1,19 @@
-//! The shell of a node that places its own callers' requests: sockets, tasks, logs and metrics.
+//! Sockets, tasks, logs and metrics of a node that places its own callers' requests.
 //!
-//! All decisions are [`peridotdeck_core::dispatch`]'s. What a site speaks towards callers and
-//! endpoints, and where it publishes its configuration, are behind two small traits: [`Ingress`]
-//! and [`Publisher`]. One request's way:
+//! All decisions are made by [`peridotdeck_core::dispatch`]. Two small traits adapt a node to
+//! its site: [`Ingress`] for the protocol towards callers and endpoints, and [`Publisher`] for the
+//! source of the configuration and the endpoint list. A request takes these steps:
 //!
-//! 1. [`server`] accepts the caller's connection; [`front`] reads head and body;
-//! 2. [`journey`] asks for a placement, makes attempts, and answers for the outcome;
+//! 1. [`server`] accepts the caller's connection; [`front`] reads its head and body;
+//! 2. [`journey`] requests a placement, makes attempts, and reports the outcome;
 //! 3. [`pool`] opens or reuses a connection to the endpoint, [`exchange`] sends the request and
 //!    reads the answer's head;
-//! 4. [`stream`] passes events on one by one, and goes on at another endpoint where it may.
+//! 4. [`stream`] relays the events of a stream, and resumes a broken stream at another endpoint if
+//!    the route allows it.
 //!
-//! [`peers`] tells and hears other nodes, [`control`] answers questions about this one, and
-//! [`node`] starts and stops everything. `docs/design/PLATFORM.md` has the reasons.
+//! [`peers`] exchanges heartbeats and snapshots with other nodes, [`control`] serves health checks,
+//! metrics and state, and [`node`] starts and stops everything. `docs/design/PLATFORM.md` gives the
+//! reasons for the design.
 
 pub mod clock;
 pub mod control;
--- a/crates/peridotdeck-relay/src/logging.rs
+++ b/crates/peridotdeck-relay/src/logging.rs
@@ -1,8 +1,9 @@
-//! Logs to standard output that never block and are bounded under load.
+//! Logging to standard output that never blocks the caller.
 //!
-//! Lines go into a buffer that a thread writes out. When the reader of standard output is stuck, or
-//! when a second brings more lines than allowed, lines are dropped and counted, and the count is
-//! logged as soon as there is room. `docs/OPERATIONS.md` lists the events.
+//! Lines go into a bounded buffer, and a thread writes them out. Lines are dropped if the reader of
+//! standard output does not keep up, or if a second brings more lines than the limit. The number of
+//! dropped lines is logged just before the next line that is accepted. `docs/OPERATIONS.md` lists
+//! the events.
 
 use std::{
     io::{self, Write},
@@ -11,73 +12,78 @@
     time::{Duration, Instant},
 };
 
-/// Bytes that wait for the reader at most.
-const BUFFER_BYTES: usize = 256 << 10;
+/// Most bytes that the buffer holds while standard output does not accept them.
+const MAX_BUFFER_BYTES: usize = 256 << 10;
 
-/// Lines a second at most.
-const LINES_PER_S: u32 = 500;
+/// Most lines that are accepted in a second.
+const MAX_LINES_PER_SECOND: u32 = 500;
 
-/// Time for which lines are gathered before they are written.
-const GATHER: Duration = Duration::from_millis(20);
+/// Time for which lines are collected before they are written together.
+const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// Lines that wait to be written.
+/// Lines that the thread has not written yet.
 #[derive(Debug)]
 struct Buffer {
-    lines: Vec<u8>,
+    pending: Vec<u8>,
     dropped: u64,
-    second: Instant,
-    count: u32,
+    /// Start of the second in which lines are being counted.
+    second_start: Instant,
+    lines_in_second: u32,
 }
 
-/// The writer that loggers are given.
+/// Writer that adds lines to the buffer and never blocks on the output.
+///
+/// Each write counts as one line.
 #[derive(Clone, Debug)]
-pub struct Journal {
+pub struct Writer {
     shared: Arc<(Mutex<Buffer>, Condvar)>,
 }
 
-impl Journal {
-    /// Starts the thread that writes to `output`.
+impl Writer {
+    /// Starts the thread that writes the buffered lines to `output`.
     ///
     /// # Errors
-    /// If the thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<Self> {
         let buffer = Buffer {
-            lines: Vec::new(),
+            pending: Vec::new(),
             dropped: 0,
-            second: Instant::now(),
-            count: 0,
+            second_start: Instant::now(),
+            lines_in_second: 0,
         };
         let shared = Arc::new((Mutex::new(buffer), Condvar::new()));
-        let journal = Self {
+        let writer = Self {
             shared: Arc::clone(&shared),
         };
         thread::Builder::new()
             .name("journal".to_owned())
             .stack_size(64 << 10)
-            .spawn(move || write_out(&shared, output))?;
-        Ok(journal)
+            .spawn(move || write_buffered(&shared, output))?;
+        Ok(writer)
     }
 }
 
-impl Write for Journal {
+impl Write for Writer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let (mutex, ready) = &*self.shared;
         let mut buffer = mutex.lock().unwrap_or_else(PoisonError::into_inner);
-        if buffer.second.elapsed() >= Duration::from_secs(1) {
-            buffer.second = Instant::now();
-            buffer.count = 0;
+        if buffer.second_start.elapsed() >= Duration::from_secs(1) {
+            buffer.second_start = Instant::now();
+            buffer.lines_in_second = 0;
         }
-        buffer.count += 1;
-        if buffer.count > LINES_PER_S || buffer.lines.len() + line.len() > BUFFER_BYTES {
+        buffer.lines_in_second += 1;
+        if buffer.lines_in_second > MAX_LINES_PER_SECOND
+            || buffer.pending.len() + line.len() > MAX_BUFFER_BYTES
+        {
             buffer.dropped += 1;
             return Ok(line.len());
         }
         if buffer.dropped > 0 {
-            let report = format!("event=log_dropped lines={}\n", buffer.dropped);
-            buffer.lines.extend_from_slice(report.as_bytes());
+            let notice = format!("event=log_dropped lines={}\n", buffer.dropped);
+            buffer.pending.extend_from_slice(notice.as_bytes());
             buffer.dropped = 0;
         }
-        buffer.lines.extend_from_slice(line);
+        buffer.pending.extend_from_slice(line);
         ready.notify_one();
         Ok(line.len())
     }
@@ -87,32 +93,36 @@
     }
 }
 
-fn write_out(shared: &(Mutex<Buffer>, Condvar), mut output: impl Write) {
+/// Writes buffered lines to the output for as long as the process runs.
+fn write_buffered(shared: &(Mutex<Buffer>, Condvar), mut output: impl Write) {
     let (mutex, ready) = shared;
     loop {
         let mut buffer = mutex.lock().unwrap_or_else(PoisonError::into_inner);
-        while buffer.lines.is_empty() {
+        while buffer.pending.is_empty() {
             buffer = ready.wait(buffer).unwrap_or_else(PoisonError::into_inner);
         }
         drop(buffer);
-        thread::sleep(GATHER);
+        thread::sleep(FLUSH_DELAY);
         let mut buffer = mutex.lock().unwrap_or_else(PoisonError::into_inner);
-        let lines = std::mem::take(&mut buffer.lines);
+        let lines = std::mem::take(&mut buffer.pending);
         drop(buffer);
-        // Nobody is left to tell that standard output is closed.
+        // A closed output cannot be reported: there is no other place to log to.
         let _ = output.write_all(&lines).and_then(|()| output.flush());
     }
 }
 
-/// Logs through a journal on standard output, at level `info`.
+/// Installs the logger of the process: standard output, level `info`, one line a record.
 ///
 /// # Errors
-/// If the journal cannot be started.
-pub fn start() -> io::Result<Journal> {
-    let journal = Journal::start(io::stdout())?;
+/// Returns an error if the thread that writes the lines cannot be started.
+///
+/// # Panics
+/// Panics if the process already has a logger.
+pub fn start() -> io::Result<Writer> {
+    let writer = Writer::start(io::stdout())?;
     env_logger::Builder::new()
         .filter_level(log::LevelFilter::Info)
-        .target(env_logger::Target::Pipe(Box::new(journal.clone())))
+        .target(env_logger::Target::Pipe(Box::new(writer.clone())))
         .write_style(env_logger::WriteStyle::Never)
         .format(|line, record| {
             let level = record.level().as_str();
@@ -124,5 +134,5 @@
             )
         })
         .init();
-    Ok(journal)
+    Ok(writer)
 }
--- a/crates/peridotdeck-relay/src/metrics.rs
+++ b/crates/peridotdeck-relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text.
+//! Metrics of a node, in the text format of Prometheus.
 
 use std::time::Duration;
 
@@ -6,28 +6,28 @@
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds in seconds for first answers and whole answers.
-const BOUNDS: [f64; 10] = [0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0];
+/// Upper bounds of the histogram buckets for latencies, in seconds.
+const LATENCY_BUCKETS_S: [f64; 10] = [0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0];
 
-/// All series of one node.
+/// All metrics of one node.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     requests: IntCounterVec,
-    first: HistogramVec,
-    whole: HistogramVec,
+    first_answer: HistogramVec,
+    whole_answer: HistogramVec,
     attempts: IntCounterVec,
     dials: IntCounterVec,
-    publisher: IntCounterVec,
-    peers: IntCounterVec,
+    publisher_failures: IntCounterVec,
+    peer_messages: IntCounterVec,
     state: IntGaugeVec,
 }
 
 impl Metrics {
-    /// Registers all series.
+    /// Registers all metrics.
     ///
     /// # Panics
-    /// If two series share a name, which is a fault of this program.
+    /// Panics if a name is invalid or used twice, which is a bug in this function.
     #[must_use]
     pub fn new() -> Self {
         let registry = Registry::new();
@@ -39,7 +39,7 @@
             series
         };
         let histogram = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BOUNDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
             let series =
                 HistogramVec::new(options, &["class", "organisation"]).expect("valid name");
             registry
@@ -52,11 +52,11 @@
             "Requests by outcome",
             &["class", "outcome"],
         );
-        let first = histogram(
+        let first_answer = histogram(
             "peridotdeck_first_seconds",
             "From arrival to the first part of the answer",
         );
-        let whole = histogram(
+        let whole_answer = histogram(
             "peridotdeck_answer_seconds",
             "From arrival to the end of the answer",
         );
@@ -70,12 +70,12 @@
             "Connections to endpoints by whether they were accepted",
             &["accepted"],
         );
-        let publisher = counter(
+        let publisher_failures = counter(
             "peridotdeck_publisher_failures_total",
             "Failed reads of what is published",
             &["area"],
         );
-        let peers = counter(
+        let peer_messages = counter(
             "peridotdeck_peer_messages_total",
             "Messages between nodes",
             &["kind"],
@@ -91,69 +91,69 @@
         Self {
             registry,
             requests,
-            first,
-            whole,
+            first_answer,
+            whole_answer,
             attempts,
             dials,
-            publisher,
-            peers,
+            publisher_failures,
+            peer_messages,
             state,
         }
     }
 
-    /// Counts the end of a request.
+    /// Counts a request by class and outcome, when it ends.
     pub fn count_request(&self, class: &str, outcome: &str) {
         self.requests.with_label_values(&[class, outcome]).inc();
     }
 
-    /// Counts the time to the first part of an answer.
+    /// Records the time from a request's arrival to the first part of its answer.
     pub fn observe_first_answer(&self, class: &str, organisation: &str, time: Duration) {
-        let series = self.first.with_label_values(&[class, organisation]);
+        let series = self.first_answer.with_label_values(&[class, organisation]);
         series.observe(time.as_secs_f64());
     }
 
-    /// Counts the time to the end of an answer.
+    /// Records the time from a request's arrival to the end of its answer.
     pub fn observe_whole_answer(&self, class: &str, organisation: &str, time: Duration) {
-        let series = self.whole.with_label_values(&[class, organisation]);
+        let series = self.whole_answer.with_label_values(&[class, organisation]);
         series.observe(time.as_secs_f64());
     }
 
-    /// Counts the end of an attempt.
+    /// Counts an attempt by service and by how it ended.
     pub fn count_attempt(&self, service: &str, end: &str) {
         self.attempts.with_label_values(&[service, end]).inc();
     }
 
-    /// Counts a connection to an endpoint.
+    /// Counts an attempt to connect to an endpoint, by whether it was accepted.
     pub fn count_dial(&self, accepted: bool) {
         let label = if accepted { "yes" } else { "no" };
         self.dials.with_label_values(&[label]).inc();
     }
 
-    /// Counts a failed read of what is published.
+    /// Counts a failed read of an area from the publisher.
     pub fn count_publisher_failure(&self, area: &str) {
-        self.publisher.with_label_values(&[area]).inc();
+        self.publisher_failures.with_label_values(&[area]).inc();
     }
 
-    /// Counts messages between nodes.
+    /// Counts messages between nodes by kind.
     pub fn count_peer_messages(&self, kind: &str, count: u64) {
-        self.peers.with_label_values(&[kind]).inc_by(count);
+        self.peer_messages.with_label_values(&[kind]).inc_by(count);
     }
 
-    /// Shows the configuration in force.
+    /// Sets the gauge of the configuration version in force.
     pub fn set_config_version(&self, version: u64) {
         self.set_state("config_version", version);
     }
 
-    /// Shows a figure of the node's state.
-    pub fn set_state(&self, of: &str, value: u64) {
+    /// Sets a gauge of the node's state. `quantity` is the label that says which one.
+    pub fn set_state(&self, quantity: &str, value: u64) {
         let value = i64::try_from(value).unwrap_or(i64::MAX);
-        self.state.with_label_values(&[of]).set(value);
+        self.state.with_label_values(&[quantity]).set(value);
     }
 
-    /// Returns all series as text.
+    /// Encodes all metrics as text.
     ///
     /// # Errors
-    /// If a series cannot be encoded.
+    /// Returns an error if a metric cannot be encoded.
     pub fn render(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/peridotdeck-relay/src/node.rs
+++ b/crates/peridotdeck-relay/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a node.
+//! Startup, periodic work and shutdown of a node.
 
 use std::{
     io,
@@ -21,51 +21,56 @@
     server::{self, Limits},
 };
 
-/// Time between two looks at what is due.
+/// Interval at which the dispatcher's due actions are carried out.
 const TICK: Duration = Duration::from_millis(25);
 
-/// Ticks between two looks at what changes slowly.
-const SLOW_TICKS: u32 = 40;
+/// Ticks between two removals of expired idle connections.
+const POOL_EXPIRY_TICKS: u32 = 40;
 
-/// Time for which a leaving node still takes requests: the balancer must notice first.
-const LINGER: Duration = Duration::from_millis(2_700);
+/// Time for which a leaving node still accepts requests.
+///
+/// The load balancer needs this long to see that the node is no longer ready.
+const LEAVING_DELAY: Duration = Duration::from_millis(2_700);
 
-/// Time before the end of grace at which a leaving node cuts what is left.
-const MARGIN: Duration = Duration::from_millis(500);
+/// Time before the end of the grace period at which requests still in progress are cut.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// Idle time of connections to the control addresses.
-const CONTROL_IDLE: Duration = Duration::from_secs(30);
+/// Longest idle time of a connection to the ready, control or metrics address.
+const CONTROL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes of a head at the control addresses.
-const CONTROL_HEAD_BYTES: usize = 16 << 10;
+/// Largest request head at the ready, control and metrics addresses.
+const MAX_CONTROL_HEAD_BYTES: usize = 16 << 10;
 
-/// Where a node listens and how it stops.
+/// Addresses, shutdown time and dispatcher options of a node.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Address for callers.
+    /// Address that accepts callers' requests.
     pub front: SocketAddr,
-    /// Address at which the balancer asks for readiness.
+    /// Address for the load balancer's readiness check.
     pub ready: SocketAddr,
-    /// Path of that question.
+    /// Path of the readiness check.
     pub ready_path: String,
-    /// Address for peers' errands and operators; the same port on all nodes.
+    /// Address at which peers fetch snapshots and operators query the node.
+    ///
+    /// The port must be the same on all nodes.
     pub control: SocketAddr,
-    /// Address for datagrams of peers; the same port on all nodes.
+    /// Address that receives the heartbeats of peers. The port must be the same on all nodes.
     pub peers: SocketAddr,
-    /// Address of the figures.
+    /// Address that serves the metrics.
     pub metrics: SocketAddr,
-    /// Time from the signal to leave until the process is killed.
+    /// Time from the termination signal until the process is killed.
     pub grace_period: Duration,
-    /// What decisions need to know.
+    /// Options of the dispatcher.
     pub dispatch: dispatcher::Options,
 }
 
-/// Runs a node until a signal asks it to leave and its requests have ended.
+/// Runs a node until `SIGTERM` or `SIGINT`, and then until its requests have ended.
 ///
-/// `reload` reads the settings again and returns the seeds; it logs what is wrong itself.
+/// Requests that are still open shortly before the end of the grace period are cut. `reload` reads
+/// the settings again and returns the seeds if they have changed; it logs errors itself.
 ///
 /// # Errors
-/// If an address cannot be bound, or signals cannot be received.
+/// Returns an error if an address cannot be bound or signal handlers cannot be installed.
 pub async fn run<I, P, R>(options: Options, ingress: I, publisher: P, reload: R) -> io::Result<()>
 where
     I: Ingress,
@@ -80,7 +85,7 @@
     let (closing, closed) = async_channel::bounded::<()>(1);
     listen(&options, &shared, &closed)?;
     let peers = Peers::bind(options.peers, options.control.port()).await?;
-    task::spawn(peers.clone().hear(Arc::clone(&shared)));
+    task::spawn(peers.clone().receive_heartbeats(Arc::clone(&shared)));
     log::info!(
         "event=started front={} ready={} control={} peers={} metrics={} place={} \
          incarnation={:016x}",
@@ -92,54 +97,55 @@
         options.dispatch.data_centre,
         options.dispatch.incarnation,
     );
-    let left = task::spawn(leave(
+    let shutdown = task::spawn(wait_for_shutdown(
         signals,
         Arc::clone(&shared),
         options.grace_period,
         closing,
         reload,
     ));
-    future::or(left, tick(&shared, &peers)).await;
+    future::or(shutdown, run_ticks(&shared, &peers)).await;
     Ok(())
 }
 
+/// Binds the TCP addresses and starts to accept connections.
 fn listen<I: Ingress>(
     options: &Options,
     shared: &Arc<Shared<I>>,
     closed: &Receiver<()>,
 ) -> io::Result<()> {
     let front = server::listen(options.front)?;
-    let watch = Arc::clone(shared);
+    let state = Arc::clone(shared);
     let limits = move || {
-        let limits = front::limits(&watch);
+        let limits = front::limits(&state);
         Limits {
             head_bytes: limits.head_bytes,
             idle: limits.idle_time,
         }
     };
-    let callee = Arc::clone(shared);
-    let serve = move |request| front::serve(Arc::clone(&callee), request);
+    let state = Arc::clone(shared);
+    let serve = move |request| front::serve(Arc::clone(&state), request);
     task::spawn(server::accept(front, closed.clone(), limits, serve));
     for address in [options.ready, options.control, options.metrics] {
         let listener = server::listen(address)?;
-        let (callee, ready) = (Arc::clone(shared), options.ready_path.clone());
-        let answer = move |request| future::ready(control::answer(&callee, &request, &ready));
+        let (state, ready) = (Arc::clone(shared), options.ready_path.clone());
+        let respond = move |request| future::ready(control::respond(&state, &request, &ready));
         let limits = || Limits {
-            head_bytes: CONTROL_HEAD_BYTES,
-            idle: CONTROL_IDLE,
+            head_bytes: MAX_CONTROL_HEAD_BYTES,
+            idle: CONTROL_IDLE_TIMEOUT,
         };
-        task::spawn(server::accept(listener, closed.clone(), limits, answer));
+        task::spawn(server::accept(listener, closed.clone(), limits, respond));
     }
     Ok(())
 }
 
-/// Does what is due, forever.
-async fn tick<I: Ingress>(shared: &Arc<Shared<I>>, peers: &Peers) {
+/// Carries out the dispatcher's due actions at every tick, without end.
+async fn run_ticks<I: Ingress>(shared: &Arc<Shared<I>>, peers: &Peers) {
     let mut count: u32 = 0;
     loop {
         Timer::after(TICK).await;
         count += 1;
-        if count.is_multiple_of(SLOW_TICKS) {
+        if count.is_multiple_of(POOL_EXPIRY_TICKS) {
             shared.pool.expire();
         }
         let due = shared.dispatcher().tick(clock::now());
@@ -149,12 +155,12 @@
         for node in &due.silent {
             log::info!("event=peer_silent node={node}");
         }
-        for (node, beat) in &due.heartbeats {
-            peers.tell(shared, *node, beat).await;
+        for (node, heartbeat) in &due.heartbeats {
+            peers.send_heartbeat(shared, *node, heartbeat).await;
         }
         for request in due.snapshot_requests {
             let (shared, peers) = (Arc::clone(shared), peers.clone());
-            task::spawn(async move { peers.fetch(&shared, request).await });
+            task::spawn(async move { peers.fetch_snapshot(&shared, request).await });
         }
         for query in due.cache_queries {
             let shared = Arc::clone(shared);
@@ -171,8 +177,11 @@
     }
 }
 
-/// Returns when a signal asked the node to leave and what was in progress has ended.
-async fn leave<I: Ingress, R>(
+/// Waits for a termination signal and then drains the node.
+///
+/// Returns when the requests in progress have ended, or shortly before the grace period ends. Until
+/// the signal, it applies changes of the seeds.
+async fn wait_for_shutdown<I: Ingress, R>(
     mut signals: Signals,
     shared: Arc<Shared<I>>,
     grace_period: Duration,
@@ -181,11 +190,11 @@
 ) where
     R: Fn() -> Option<Vec<Node>> + Send + Sync + 'static,
 {
-    /// Time between two looks at the settings, which may change without a signal.
-    const LOOK: Duration = Duration::from_secs(2);
+    /// Interval at which the settings are read, since they may change without a signal.
+    const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
     loop {
         let timer = async {
-            Timer::after(LOOK).await;
+            Timer::after(RELOAD_INTERVAL).await;
             None
         };
         match future::or(async { signals.next().await }, timer).await {
@@ -201,19 +210,20 @@
     let open = || shared.open_requests.load(Ordering::Relaxed);
     log::info!("event=leaving open={}", open());
     shared.dispatcher().leave();
-    Timer::after(LINGER).await;
+    Timer::after(LEAVING_DELAY).await;
+    // Stops accepting connections and closes the idle ones.
     drop(closing);
-    let cut = grace_period.saturating_sub(LINGER + MARGIN);
-    let until = clock::now() + cut;
-    while open() > 0 && clock::now() < until {
+    let drain_time = grace_period.saturating_sub(LEAVING_DELAY + SHUTDOWN_MARGIN);
+    let deadline = clock::now() + drain_time;
+    while open() > 0 && clock::now() < deadline {
         Timer::after(TICK).await;
     }
     log::info!("event=stopped open={}", open());
-    // The journal gathers lines before it writes them.
+    // The log writer collects lines for a moment before it writes them.
     Timer::after(2 * TICK).await;
 }
 
-/// Returns a random number for a new process.
+/// Returns a random number that distinguishes this process from earlier ones.
 #[must_use]
 pub fn random_incarnation() -> u64 {
     rand::random()
--- a/crates/peridotdeck-relay/src/peers.rs
+++ b/crates/peridotdeck-relay/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes, and what they fetch from each other.
+//! Communication between nodes: heartbeats in UDP datagrams, and snapshots over HTTP.
 
 use std::{
     io,
@@ -22,67 +22,71 @@
     fetch::{self, Client},
 };
 
-/// Longest time for an errand.
-const PATIENCE: Duration = Duration::from_millis(800);
+/// Time limit for fetching a snapshot from a peer.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Rest after a failed receive.
-const REST: Duration = Duration::from_millis(20);
+/// Delay after a failed receive, so that a lasting error does not spin.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 quick_error! {
-    /// Why an errand brought nothing.
+    /// Reason why a snapshot could not be fetched.
     #[derive(Debug)]
     pub enum Error {
-        /// The peer cannot be read.
+        /// The HTTP request failed.
         Fetch(cause: fetch::Error) {
             display("{cause}")
             from()
             source(cause)
         }
-        /// The answer cannot be decoded.
+        /// The response is not a valid snapshot.
         Decode(cause: postcard::Error) {
-            display("answer malformed: {cause}")
+            display("snapshot cannot be decoded: {cause}")
             from()
             source(cause)
         }
     }
 }
 
-/// The node's ends towards its peers.
+/// Datagram socket of this node and the ports at which it reaches its peers.
 #[derive(Clone, Debug)]
 pub struct Peers {
     socket: Arc<UdpSocket>,
-    port: u16,
-    control: u16,
+    datagram_port: u16,
+    control_port: u16,
 }
 
 impl Peers {
-    /// Binds the datagram socket; peers use the same ports.
+    /// Binds the datagram socket.
+    ///
+    /// Peers use the same port for datagrams, and `control_port` for HTTP.
     ///
     /// # Errors
-    /// If the address cannot be bound.
-    pub async fn bind(address: SocketAddr, control: u16) -> io::Result<Self> {
+    /// Returns an error if the address cannot be bound.
+    pub async fn bind(address: SocketAddr, control_port: u16) -> io::Result<Self> {
         Ok(Self {
             socket: Arc::new(UdpSocket::bind(address).await?),
-            port: address.port(),
-            control,
+            datagram_port: address.port(),
+            control_port,
         })
     }
 
-    /// Hears peers for as long as the process lives.
-    pub async fn hear<I: Ingress>(self, shared: Arc<Shared<I>>) {
+    /// Receives heartbeats until the process ends.
+    ///
+    /// A heartbeat is dropped, and counted as foreign, if its node is not the address that sent it.
+    pub async fn receive_heartbeats<I: Ingress>(self, shared: Arc<Shared<I>>) {
         let mut buffer = [0; MAX_DATAGRAM];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(cause) => {
                     log::warn!("event=peer_receive_failed cause=\"{cause}\"");
-                    Timer::after(REST).await;
+                    Timer::after(RECEIVE_RETRY_DELAY).await;
                     continue;
                 }
             };
             match unpack::<Beat>(&buffer[..length]) {
-                Ok(beat) if from.ip() == Node::from(beat.node) => {
-                    self.take_in(&shared, &beat).await;
+                Ok(heartbeat) if from.ip() == Node::from(heartbeat.node) => {
+                    self.handle_heartbeat(&shared, &heartbeat).await;
                 }
                 Ok(_) => shared.metrics.count_peer_messages("foreign", 1),
                 Err(cause) => {
@@ -93,26 +97,32 @@
         }
     }
 
-    async fn take_in<I: Ingress>(&self, shared: &Shared<I>, beat: &Beat) {
+    /// Updates the dispatcher, and replies if the peer requests it.
+    async fn handle_heartbeat<I: Ingress>(&self, shared: &Shared<I>, heartbeat: &Beat) {
         shared.metrics.count_peer_messages("received", 1);
-        let node = Node::from(beat.node);
-        let (answer, joined) = shared.dispatcher().receive(beat, clock::now());
+        let node = Node::from(heartbeat.node);
+        let (reply, joined) = shared.dispatcher().receive(heartbeat, clock::now());
         if joined {
             log::info!(
                 "event=peer_joined node={node} incarnation={:016x} policy={} roster={}",
-                beat.incarnation,
-                beat.policy,
-                beat.roster
+                heartbeat.incarnation,
+                heartbeat.policy,
+                heartbeat.roster
             );
         }
-        if let Some(answer) = answer {
-            self.tell(shared, node, &answer).await;
+        if let Some(reply) = reply {
+            self.send_heartbeat(shared, node, &reply).await;
         }
     }
 
-    /// Sends one beat.
-    pub async fn tell<I: Ingress>(&self, shared: &Shared<I>, node: Node, beat: &Beat) {
-        let bytes = match pack(beat) {
+    /// Sends a heartbeat to a peer. Failures are only logged.
+    pub async fn send_heartbeat<I: Ingress>(
+        &self,
+        shared: &Shared<I>,
+        node: Node,
+        heartbeat: &Beat,
+    ) {
+        let bytes = match pack(heartbeat) {
             Ok(bytes) => bytes,
             Err(cause) => {
                 log::warn!("event=beat_too_large node={node} cause=\"{cause}\"");
@@ -120,16 +130,16 @@
             }
         };
         shared.metrics.count_peer_messages("sent", 1);
-        let address = SocketAddrV4::new(node, self.port);
+        let address = SocketAddrV4::new(node, self.datagram_port);
         if let Err(cause) = self.socket.send_to(&bytes, address).await {
             log::debug!("event=peer_send_failed node={node} cause=\"{cause}\"");
         }
     }
 
-    /// Fetches what a peer knows better, and takes it in.
-    pub async fn fetch<I: Ingress>(&self, shared: &Shared<I>, request: SnapshotRequest) {
+    /// Fetches a newer revision from a peer and adopts it.
+    pub async fn fetch_snapshot<I: Ingress>(&self, shared: &Shared<I>, request: SnapshotRequest) {
         let SnapshotRequest { node, area, known } = request;
-        match self.ask(request).await {
+        match self.request_snapshot(request).await {
             Ok(snapshot) => {
                 let change = shared.dispatcher().adopt(snapshot, clock::now());
                 log::info!("event=peer_asked node={node} area={area} known={known}");
@@ -141,13 +151,13 @@
         }
     }
 
-    async fn ask(&self, request: SnapshotRequest) -> Result<Snapshot, Error> {
-        let address = SocketAddrV4::new(request.node, self.control);
+    async fn request_snapshot(&self, request: SnapshotRequest) -> Result<Snapshot, Error> {
+        let address = SocketAddrV4::new(request.node, self.control_port);
         let path = match request.area {
             Area::Policy => "/fleet/policy".to_owned(),
             Area::Roster => format!("/fleet/roster?known={}", request.known),
         };
-        let body = Client::new(address).get(&path, PATIENCE).await?;
+        let body = Client::new(address).get(&path, FETCH_TIMEOUT).await?;
         Ok(postcard::from_bytes(&body)?)
     }
 }
--- a/crates/peridotdeck-relay/src/publisher.rs
+++ b/crates/peridotdeck-relay/src/publisher.rs
@@ -1,29 +1,31 @@
-//! Where a site publishes its configuration and its endpoints.
+//! Traits for the source of a site's configuration and endpoint list.
 
 use std::sync::Arc;
 
 use peridotdeck_core::dispatch::registry::{Area, Report};
 
-/// What a publisher tells the node.
+/// Receiver of a publisher's reports, which the node implements.
 pub trait Sink: Send + Sync + 'static {
-    /// Reports facts.
+    /// Reports published facts.
     fn report(&self, report: Report);
 
-    /// Reports that an area cannot be read, and why.
+    /// Reports that a read of an area failed, with the cause for the log.
     fn report_failure(&self, area: Area, cause: &str);
 
-    /// Reports that an area can be read again.
+    /// Reports that a read of an area succeeded, which ends a series of failures.
     fn report_recovery(&self, area: Area);
 
-    /// Returns whether the node wants to read the source itself; else it learns from peers.
+    /// Returns whether this node should watch the publisher itself.
+    ///
+    /// Otherwise it fetches changes from its peers.
     fn should_watch(&self) -> bool;
 
-    /// Returns the newest revision of an area that the node knows, by any way.
+    /// Returns the newest revision of an area that the node has, from the publisher or from a peer.
     fn revision(&self, area: Area) -> u64;
 }
 
-/// A source of configuration and endpoints.
+/// Source of a site's configuration and endpoint list.
 pub trait Publisher: Send + Sync + 'static {
-    /// Follows the source for as long as the process lives.
+    /// Reports the current state and every later change to the sink, until the process ends.
     fn follow<S: Sink>(self, sink: Arc<S>) -> impl Future<Output = ()> + Send;
 }
--- a/crates/peridotdeck-relay/src/shared.rs
+++ b/crates/peridotdeck-relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a node share.
+//! State that all tasks of a node share.
 
 use std::{
     net::SocketAddrV4,
@@ -15,23 +15,24 @@
 
 use crate::{Ingress, clock, metrics::Metrics, pool::Pool, publisher::Sink};
 
-/// Decisions, connections and figures of one node.
+/// Dispatcher, connections and metrics of one node.
 #[derive(Debug)]
 pub struct Shared<I> {
-    /// What the site speaks.
+    /// The site's protocol towards callers and endpoints.
     pub ingress: I,
-    /// Kept connections to endpoints.
+    /// Idle connections to endpoints.
     pub pool: Pool,
-    /// Counters and histograms.
+    /// Metrics of this node.
     pub metrics: Metrics,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub open_requests: AtomicU32,
     dispatcher: Mutex<Dispatcher>,
-    troubled: [AtomicU32; 2],
+    /// Failed reads of each area since its last successful read.
+    failure_counts: [AtomicU32; 2],
 }
 
 impl<I: Ingress> Shared<I> {
-    /// Puts the parts together.
+    /// Creates the state of a node that has not served a request yet.
     #[must_use]
     pub fn new(ingress: I, dispatcher: Dispatcher) -> Self {
         Self {
@@ -40,34 +41,36 @@
             metrics: Metrics::new(),
             open_requests: AtomicU32::new(0),
             dispatcher: Mutex::new(dispatcher),
-            troubled: Default::default(),
+            failure_counts: Default::default(),
         }
     }
 
-    /// Returns the decisions; the guard is never held across an await.
+    /// Locks the dispatcher. The guard must not be held across an `await`.
     pub fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that an idle connection to an endpoint broke.
+    /// Records that an idle connection to an endpoint broke, so the endpoint may be down.
     pub fn suspect(&self, key: Key) {
         log::info!("event=idle_connection_broke endpoint_key={key:08x}");
         self.dispatcher().suspect(key, clock::now());
     }
 
-    /// Logs a change and closes what it makes useless.
+    /// Logs a change and closes the connections to removed endpoints.
+    ///
+    /// `source` is logged as the origin of the change.
     pub fn handle_change(&self, change: &Change, source: &str) {
         if let Some(version) = change.version {
             log::info!("event=config_adopted version={version} source={source}");
             self.metrics.set_config_version(version);
         }
-        for place in &change.closed {
-            log::info!("event=data_centre_closed place={place} source={source}");
+        for data_centre in &change.closed {
+            log::info!("event=data_centre_closed place={data_centre} source={source}");
         }
-        for place in &change.opened {
-            log::info!("event=data_centre_opened place={place} source={source}");
+        for data_centre in &change.opened {
+            log::info!("event=data_centre_opened place={data_centre} source={source}");
         }
         for endpoint in &change.updated {
             log_endpoint("endpoint_updated", endpoint, source);
@@ -77,16 +80,16 @@
         }
     }
 
-    /// Logs that an endpoint left the list and closes its connections.
+    /// Logs that an endpoint was removed from the endpoint list, and closes its connections.
     pub fn handle_removal(&self, endpoint: &Endpoint, source: &str) {
         log_endpoint("endpoint_removed", endpoint, source);
         self.pool.forget(endpoint.key());
     }
 
-    fn area(&self, area: Area) -> &AtomicU32 {
+    fn failure_count(&self, area: Area) -> &AtomicU32 {
         match area {
-            Area::Policy => &self.troubled[0],
-            Area::Roster => &self.troubled[1],
+            Area::Policy => &self.failure_counts[0],
+            Area::Roster => &self.failure_counts[1],
         }
     }
 }
@@ -118,7 +121,7 @@
     }
 
     fn report_failure(&self, area: Area, cause: &str) {
-        let count = self.area(area).fetch_add(1, Ordering::Relaxed);
+        let count = self.failure_count(area).fetch_add(1, Ordering::Relaxed);
         if count == 0 {
             log::warn!("event=publisher_lost area={area} cause=\"{cause}\"");
         }
@@ -127,7 +130,7 @@
     }
 
     fn report_recovery(&self, area: Area) {
-        let failures = self.area(area).swap(0, Ordering::Relaxed);
+        let failures = self.failure_count(area).swap(0, Ordering::Relaxed);
         if failures > 0 {
             log::info!("event=publisher_regained area={area} failures={failures}");
         }
