--- a/crates/peridotdeck-core/src/node.rs
+++ b/crates/peridotdeck-core/src/node.rs
@@ -17,9 +17,9 @@
 
 use crate::{
     Action, Event, Strategy,
-    claim::{Ledger, must_sync},
+    claim::{Witness, needs_transfer},
     config::{self, Change},
-    flight::{Candidate, Desk, Outbox, Scene, candidates},
+    flight::{Candidate, Context, Outbox, Table, rank_candidates},
     id,
     membership::{GOSSIP_INTERVAL, View},
     owner,
@@ -61,9 +61,9 @@
 pub struct Node {
     view: View,
     config: config::Store,
-    request_table: Desk,
+    request_table: Table,
     pools: owner::Pools,
-    witness: Ledger,
+    witness: Witness,
     filter: Filter,
     fetcher: Fetcher,
     rng: SmallRng,
@@ -90,9 +90,9 @@
         Self {
             view: View::new(setup.node, setup.data_centre, setup.incarnation),
             config: config::Store::default(),
-            request_table: Desk::new(ids.clone()),
+            request_table: Table::new(ids.clone()),
             pools: owner::Pools::new(setup.strategy),
-            witness: Ledger::new(setup.node),
+            witness: Witness::new(setup.node),
             filter: Filter::default(),
             fetcher: Fetcher::default(),
             rng: SmallRng::seed_from_u64(setup.seed),
@@ -130,7 +130,7 @@
 
     /// Returns the requests in flight of this node's callers.
     #[must_use]
-    pub fn request_table(&self) -> &Desk {
+    pub fn request_table(&self) -> &Table {
         &self.request_table
     }
 
@@ -142,7 +142,7 @@
 
     /// Returns the reservations of idempotency keys that this node witnesses.
     #[must_use]
-    pub fn witness(&self) -> &Ledger {
+    pub fn witness(&self) -> &Witness {
         &self.witness
     }
 
@@ -170,7 +170,7 @@
     #[must_use]
     pub fn candidates(&self, call: &Call, now: id::Time) -> Vec<Candidate> {
         self.config.snapshot().map_or_else(Vec::new, |snapshot| {
-            candidates(call, Duration::ZERO, &self.view, snapshot, now)
+            rank_candidates(call, Duration::ZERO, &self.view, snapshot, now)
         })
     }
 
@@ -191,17 +191,19 @@
             Event::Arrive { request, call } => self.handle_arrival(request, call, now, out),
             Event::Ended { attempt, end } => {
                 self.with_context(now, |table, context| {
-                    table.ended(attempt, end, context, out);
+                    table.handle_attempt_end(attempt, end, context, out);
                 });
             }
             Event::Abandoned { request } => {
-                self.with_context(now, |table, context| table.abandon(request, context, out));
+                self.with_context(now, |table, context| {
+                    table.handle_disconnect(request, context, out);
+                });
             }
             Event::Message(envelope) => self.receive(envelope, now, out),
             Event::Published(delta) => self.handle_published(delta, now, out),
             Event::Reported { endpoint, report } => {
                 self.pools
-                    .handle_report(endpoint, report, now, &mut out.letters);
+                    .handle_report(endpoint, report, now, &mut out.messages);
             }
             Event::Drain => self.drain(now, out),
         }
@@ -209,8 +211,8 @@
 
     /// Handles the messages to this node itself, and passes those to peers to the shell.
     fn deliver_messages(&mut self, now: id::Time, out: &mut Outbox) {
-        while !out.letters.is_empty() {
-            for (node, body) in mem::take(&mut out.letters) {
+        while !out.messages.is_empty() {
+            for (node, body) in mem::take(&mut out.messages) {
                 if node == self.view.local_node() {
                     self.handle_message(node, body, now, out);
                 } else if let Some(member) = self.view.member(node) {
@@ -223,11 +225,11 @@
         }
     }
 
-    fn with_context(&mut self, now: id::Time, act: impl FnOnce(&mut Desk, &mut Scene<'_>)) {
+    fn with_context(&mut self, now: id::Time, act: impl FnOnce(&mut Table, &mut Context<'_>)) {
         let Some(snapshot) = self.config.snapshot() else {
             return;
         };
-        let mut context = Scene {
+        let mut context = Context {
             now,
             view: &self.view,
             snapshot,
@@ -258,7 +260,7 @@
         }
         let parked = self.revalidation.is_some();
         self.with_context(now, |table, context| {
-            table.arrive(request, call, parked, context, out);
+            table.admit(request, call, parked, context, out);
         });
     }
 
@@ -276,7 +278,7 @@
             self.with_context(now, |table, context| table.tick(context, out));
         }
         for (node, sync) in self.witness.tick(now) {
-            out.tell(node, sync);
+            out.send(node, sync);
         }
         if self.next_gossip <= now {
             self.next_gossip = now + GOSSIP_INTERVAL;
@@ -284,7 +286,7 @@
         }
         self.fetch_from_seeds(now, out);
         self.update_watch(out);
-        self.request_table.check();
+        self.request_table.check_invariants();
         self.pools.check_invariants();
     }
 
@@ -294,9 +296,9 @@
         };
         if !self.view.is_leaving() && self.view.may_own_pools(now) {
             self.pools
-                .update_ownership(&self.view, &snapshot, now, &mut out.letters);
+                .update_ownership(&self.view, &snapshot, now, &mut out.messages);
         }
-        self.pools.tick(now, &mut out.letters);
+        self.pools.tick(now, &mut out.messages);
         if self.next_poll <= now {
             self.next_poll = now + POLL_INTERVAL;
             out.actions.extend(
@@ -312,7 +314,7 @@
         self.last_tick = now;
         self.view.assume_all_alive(now);
         self.pools.drop_all();
-        self.request_table.park();
+        self.request_table.suspend();
         let nonce = self.fetcher.next_nonce();
         self.revalidation = Some(Revalidation {
             nonce,
@@ -371,10 +373,10 @@
         let own = self.pools.summaries(self.view.heartbeat_count(), now);
         self.view.receive_summaries(&own, now);
         for node in targets {
-            out.tell(node, self.build_digest(false, now));
+            out.send(node, self.build_digest(false, now));
         }
         if let Some(node) = probed {
-            out.tell(node, self.build_digest(true, now));
+            out.send(node, self.build_digest(true, now));
         }
     }
 
@@ -400,17 +402,17 @@
         self.view.refresh(now);
         if let Some(snapshot) = self.config.snapshot().cloned() {
             self.pools
-                .update_ownership(&self.view, &snapshot, now, &mut out.letters);
+                .update_ownership(&self.view, &snapshot, now, &mut out.messages);
         }
         // Announces the leave to the whole data centre at once, so that new owners start at once.
         self.view.start_gossip_round(now, &mut self.rng);
         let digest = self.build_digest(false, now);
         for &node in self.view.live_nodes(self.view.data_centre()) {
-            out.tell(node, digest.clone());
+            out.send(node, digest.clone());
         }
         for entry in self.witness.entries(now) {
-            for witness in crate::claim::witnesses(&entry.key, self.view.members()) {
-                out.tell(
+            for witness in crate::claim::choose_witnesses(&entry.key, self.view.members()) {
+                out.send(
                     witness,
                     Settle {
                         entry: entry.clone(),
@@ -430,7 +432,7 @@
         self.view.record_message(envelope.sender, now);
         if restarted {
             self.pools
-                .forget_node(envelope.sender, now, &mut out.letters);
+                .forget_node(envelope.sender, now, &mut out.messages);
         }
         self.handle_message(envelope.sender, envelope.body, now, out);
     }
@@ -439,44 +441,46 @@
         match body {
             Body::Gossip(gossip) => self.handle_gossip(from, &gossip, now, out),
             Body::Ask(ask) if self.revalidation.is_none() => {
-                self.pools.handle_ask(from, ask, now, &mut out.letters);
+                self.pools.handle_ask(from, ask, now, &mut out.messages);
             }
             Body::Ask(_) => {}
-            Body::Done(done) => self.pools.handle_done(&done, now, &mut out.letters),
+            Body::Done(done) => self.pools.handle_done(&done, now, &mut out.messages),
             Body::Holding(holding) => {
                 self.pools
-                    .handle_holding(from, &holding, now, &mut out.letters);
+                    .handle_holding(from, &holding, now, &mut out.messages);
             }
             Body::Handover(handover) => self.pools.handle_handover(handover, now),
-            Body::Queued(queued) => self.request_table.queued(queued.attempt),
+            Body::Queued(queued) => self.request_table.mark_queued(queued.attempt),
             Body::Grant(grant) => {
                 let (attempt, endpoint) = (grant.attempt, grant.endpoint);
                 self.with_context(now, |table, context| {
-                    table.grant(from, attempt, endpoint, context, out);
+                    table.handle_grant(from, attempt, endpoint, context, out);
                 });
             }
             Body::Deny(deny) => {
-                self.with_context(now, |table, context| table.deny(&deny, context, out));
+                self.with_context(now, |table, context| {
+                    table.handle_denial(&deny, context, out);
+                });
             }
-            Body::Preempt(preempt) => self.request_table.preempt(preempt.attempt, out),
-            Body::Strike(strike) => self.request_table.strike(&strike, now),
+            Body::Preempt(preempt) => self.request_table.handle_preemption(preempt.attempt, out),
+            Body::Strike(strike) => self.request_table.record_crash(&strike, now),
             Body::Claim(claim) => self.handle_claim(from, &claim, now, out),
             Body::Vote(Vote {
                 attempt, answer, ..
             }) => {
                 self.with_context(now, |table, context| {
-                    table.vote(from, attempt, answer, context, out);
+                    table.handle_vote(from, attempt, answer, context, out);
                 });
             }
-            Body::Settle(settle) => self.witness.absorb(&settle.entry, now),
-            Body::Sync(sync) => match self.witness.page(from, &sync, now) {
-                Some(page) => out.tell(from, page),
+            Body::Settle(settle) => self.witness.merge(&settle.entry, now),
+            Body::Sync(sync) => match self.witness.build_page(from, &sync, now) {
+                Some(page) => out.send(from, page),
                 None => self.fetch(from, now, out),
             },
-            Body::Claims(claims) => self.witness.receive(from, &claims, now),
+            Body::Claims(claims) => self.witness.receive_page(from, &claims, now),
             Body::Fetch(fetch) => {
                 let delta = self.build_delta(&fetch);
-                out.tell(from, delta);
+                out.send(from, delta);
             }
             Body::Delta(delta) => self.handle_delta(&delta, now, out),
         }
@@ -487,7 +491,7 @@
         if answer == Answer::Stale && claim.roster > self.view.vm_list_revision() {
             self.fetch(from, now, out);
         }
-        out.tell(
+        out.send(
             from,
             Vote {
                 key: claim.key.clone(),
@@ -501,7 +505,7 @@
         self.view.receive_heartbeats(&gossip.beats, now);
         self.view.receive_summaries(&gossip.pools, now);
         if gossip.probe {
-            out.tell(from, self.build_digest(false, now));
+            out.send(from, self.build_digest(false, now));
         }
         let is_newer =
             gossip.revision > self.config.revision().max(self.config.rejected_revision());
@@ -520,7 +524,7 @@
 
     fn fetch_from(&mut self, peers: &[id::Node], nonce: u64, out: &mut Outbox) {
         for &peer in peers {
-            out.tell(peer, self.build_fetch(nonce));
+            out.send(peer, self.build_fetch(nonce));
         }
     }
 
@@ -618,12 +622,12 @@
         if delta.roster == 0 || !self.view.adopt_vm_list(delta.roster, delta.members.clone()) {
             return;
         }
-        let transfer = must_sync(self.view.data_centre(), &old, self.view.members());
+        let transfer = needs_transfer(self.view.data_centre(), &old, self.view.members());
         self.witness
-            .follow(delta.roster, self.view.members(), transfer, now);
+            .update_members(delta.roster, self.view.members(), transfer, now);
         for member in &old {
             if self.view.member(member.node).is_none() {
-                self.pools.forget_node(member.node, now, &mut out.letters);
+                self.pools.forget_node(member.node, now, &mut out.messages);
             }
         }
         self.view.refresh(now);
