--- a/crates/peridotdeck-relay/src/fetch.rs
+++ b/crates/peridotdeck-relay/src/fetch.rs
@@ -64,8 +64,8 @@
 
     /// Requests a path and returns the body of the response.
     ///
-    /// `time_limit` covers connecting, the request and the complete response. The connection is kept
-    /// for the next request if the response was complete.
+    /// `time_limit` covers connecting, the request and the complete response. The connection is
+    /// kept for the next request if the response was complete.
     ///
     /// # Errors
     /// Returns an error if the response is not complete in time, or its status is not 200.
