--- a/crates/peridotdeck-relay/src/exchange.rs
+++ b/crates/peridotdeck-relay/src/exchange.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Ingress, Shared, clock,
-    fetch::Source,
+    fetch::Client,
     ingress::Reply,
     pool::{self, Connection},
 };
@@ -172,7 +172,7 @@
 ) -> Result<Connection, pool::Error> {
     let observer = Arc::clone(shared);
     let dialed = pool::dial(address, move || observer.suspect(key)).await;
-    shared.metrics.dialed(dialed.is_ok());
+    shared.metrics.count_dial(dialed.is_ok());
     dialed
 }
 
@@ -195,7 +195,7 @@
     let Some(path) = shared.ingress.cache_list_path() else {
         return;
     };
-    let read = Source::new(query.address)
+    let read = Client::new(query.address)
         .get(path, CACHE_LIST_TIMEOUT)
         .await;
     let list = match read {
--- a/crates/peridotdeck-relay/src/front.rs
+++ b/crates/peridotdeck-relay/src/front.rs
@@ -182,7 +182,7 @@
 
 /// Logs and counts a request that was refused before it was admitted.
 fn log_refused<I: Ingress>(shared: &Shared<I>, id: Option<&str>, refusal: &Refusal, arrived: Time) {
-    shared.metrics.ended("", "refused");
+    shared.metrics.count_request("", "refused");
     let dispatcher = shared.dispatcher();
     let registry = dispatcher.registry();
     let version = registry.config().map_or(0, |config| config.version);
