--- a/crates/peridotdeck-cli/src/remote.rs
+++ b/crates/peridotdeck-cli/src/remote.rs
@@ -43,7 +43,7 @@
     let text = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params}).to_string();
     request.set_body(text);
     request.set_content_type(mime::JSON);
-    let sent = client::call(address, request, PATIENCE).await;
+    let sent = client::request(address, request, PATIENCE).await;
     let mut response = sent.map_err(|cause| Error::Call(address, cause))?;
     if !response.status().is_success() {
         return Err(wrong(format!("refused with status {}", response.status())));
@@ -65,7 +65,7 @@
 pub async fn page(address: SocketAddr, path: &str) -> Result<String, Error> {
     let wrong = |what: String| Error::Answer(address, what);
     let url = client::url(address, path).map_err(|cause| wrong(cause.to_string()))?;
-    let sent = client::call(address, Request::new(Method::Get, url), PATIENCE).await;
+    let sent = client::request(address, Request::new(Method::Get, url), PATIENCE).await;
     let mut response = sent.map_err(|cause| Error::Call(address, cause))?;
     let body = response.body_string().await;
     let body = body.map_err(|cause| wrong(cause.to_string()))?;
--- a/crates/peridotdeck-fake/src/engine.rs
+++ b/crates/peridotdeck-fake/src/engine.rs
@@ -43,7 +43,7 @@
     pub async fn start_at(address: SocketAddr, setting: Setting) -> io::Result<Self> {
         let state = Arc::new(State::new(setting));
         let server = crate::serve(address, api::app(Arc::clone(&state))).await?;
-        state.watch(server.gate());
+        state.watch(server.accept_state());
         Ok(Self { server, state })
     }
 
--- a/crates/peridotdeck-fake/src/engine/api.rs
+++ b/crates/peridotdeck-fake/src/engine/api.rs
@@ -5,7 +5,7 @@
 use async_std::task;
 use peridotdeck_http::{
     body,
-    server::{Connection, unless_closed},
+    server::{Connection, run_until_closed},
 };
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -84,7 +84,9 @@
     let work = run(state, id, (priority, class), body, chat);
     match connection {
         // A caller that goes away while its request waits must not keep a place.
-        Some(connection) => unless_closed(&connection, work).await.unwrap_or_else(died),
+        Some(connection) => run_until_closed(&connection, work)
+            .await
+            .unwrap_or_else(died),
         None => work.await,
     }
 }
--- a/crates/peridotdeck-fake/src/engine/state.rs
+++ b/crates/peridotdeck-fake/src/engine/state.rs
@@ -7,7 +7,7 @@
 };
 
 use async_std::task;
-use peridotdeck_http::server::Gate;
+use peridotdeck_http::server::AcceptState;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde::{Deserialize, Serialize};
 
@@ -152,7 +152,7 @@
     /// Behaviour.
     pub setting: Setting,
     inner: Mutex<Inner>,
-    gate: Mutex<Option<Arc<Gate>>>,
+    gate: Mutex<Option<Arc<AcceptState>>>,
 }
 
 /// The engine has died since the request came.
@@ -198,7 +198,7 @@
     }
 
     /// Learns the gate that a crash shuts.
-    pub fn watch(&self, gate: Arc<Gate>) {
+    pub fn watch(&self, gate: Arc<AcceptState>) {
         *self.gate.lock().unwrap_or_else(PoisonError::into_inner) = Some(gate);
     }
 
@@ -257,7 +257,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .as_ref()
         {
-            gate.set_shut(shut);
+            gate.set_rejecting(shut);
         }
     }
 
--- a/crates/peridotdeck-fake/src/plain.rs
+++ b/crates/peridotdeck-fake/src/plain.rs
@@ -140,7 +140,7 @@
 
     /// Closes new connections at once while down.
     pub fn set_down(&self, down: bool) {
-        self.server.gate().set_shut(down);
+        self.server.accept_state().set_rejecting(down);
     }
 }
 
--- a/crates/peridotdeck-fake/src/platform.rs
+++ b/crates/peridotdeck-fake/src/platform.rs
@@ -138,7 +138,7 @@
 
     /// Closes new connections at once while down.
     pub fn set_down(&self, down: bool) {
-        self.server.gate().set_shut(down);
+        self.server.accept_state().set_rejecting(down);
     }
 
     /// Returns the reads so far.
--- a/crates/peridotdeck-http/src/client.rs
+++ b/crates/peridotdeck-http/src/client.rs
@@ -11,7 +11,7 @@
 use quick_error::quick_error;
 
 /// Longest time to open a connection.
-pub const CONNECT: Duration = Duration::from_secs(1);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 quick_error! {
     /// Why a call got no response head.
@@ -27,7 +27,7 @@
             display("connection broke: {cause}")
         }
         /// No response head came in time, so the call may have run.
-        Silent {
+        TimedOut {
             display("no response in time")
         }
     }
@@ -36,9 +36,9 @@
 /// Opens a connection without delay of small packets.
 ///
 /// # Errors
-/// [`Error::Unreachable`] if the peer refuses or does not answer within [`CONNECT`].
+/// [`Error::Unreachable`] if the peer refuses or does not answer within [`CONNECT_TIMEOUT`].
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, Error> {
-    let attempt = timeout(CONNECT, TcpStream::connect(address)).await;
+    let attempt = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let late = |_| {
         io::Error::new(
             io::ErrorKind::TimedOut,
@@ -56,16 +56,16 @@
 /// Sends a request on an open connection and waits for the response head.
 ///
 /// # Errors
-/// [`Error::Broken`] or [`Error::Silent`]; either way the call may have run.
+/// [`Error::Broken`] or [`Error::TimedOut`]; either way the call may have run.
 pub async fn send(
     stream: TcpStream,
     request: Request,
-    patience: Duration,
+    response_timeout: Duration,
 ) -> Result<Response, Error> {
-    match timeout(patience, async_h1::connect(stream, request)).await {
+    match timeout(response_timeout, async_h1::connect(stream, request)).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(cause)) => Err(Error::Broken(cause.to_string())),
-        Err(_) => Err(Error::Silent),
+        Err(_) => Err(Error::TimedOut),
     }
 }
 
@@ -73,13 +73,13 @@
 ///
 /// # Errors
 /// See [`connect`] and [`send`].
-pub async fn call(
+pub async fn request(
     address: SocketAddr,
     request: Request,
-    patience: Duration,
+    response_timeout: Duration,
 ) -> Result<Response, Error> {
     let stream = connect(address).await?;
-    send(stream, request, patience).await
+    send(stream, request, response_timeout).await
 }
 
 /// Returns the URL of a path at an address.
--- a/crates/peridotdeck-http/src/server.rs
+++ b/crates/peridotdeck-http/src/server.rs
@@ -20,7 +20,7 @@
 use http_types::{Request, Response, Result};
 
 /// Status and message for a head that is not HTTP, too long, or has too many headers.
-const BAD_HEAD: (&str, &str) = ("400 Bad Request", "unreadable request head");
+const MALFORMED_HEAD: (&str, &str) = ("400 Bad Request", "unreadable request head");
 
 /// Status and message for a head that does not come in time.
 const SLOW_HEAD: (&str, &str) = ("408 Request Timeout", "request head took too long");
@@ -29,16 +29,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Longest time for a request's head, counted from the previous response on the connection.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Open connections; more are closed at once.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head: Duration::from_secs(10),
-            connections: 8_192,
+            head_timeout: Duration::from_secs(10),
+            max_connections: 8_192,
         }
     }
 }
@@ -65,30 +65,30 @@
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    gate: Arc<Gate>,
+    state: Arc<AcceptState>,
     accept: Option<JoinHandle<()>>,
 }
 
 /// State shared by the accept loop and the connections.
 #[derive(Debug, Default)]
-pub struct Gate {
-    shut: AtomicBool,
+pub struct AcceptState {
+    rejecting: AtomicBool,
     open: AtomicUsize,
 }
 
-impl Gate {
+impl AcceptState {
     /// Closes every new connection at once while shut, as a crashed process would.
-    pub fn set_shut(&self, shut: bool) {
-        self.shut.store(shut, Ordering::SeqCst);
+    pub fn set_rejecting(&self, rejecting: bool) {
+        self.rejecting.store(rejecting, Ordering::SeqCst);
     }
 
-    fn is_shut(&self) -> bool {
-        self.shut.load(Ordering::SeqCst)
+    fn is_rejecting(&self) -> bool {
+        self.rejecting.load(Ordering::SeqCst)
     }
 
     /// Returns the open connections.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 }
@@ -105,11 +105,11 @@
     {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let gate = Arc::new(Gate::default());
-        let accept = task::spawn(accept(listener, limits, Arc::clone(&gate), respond));
+        let state = Arc::new(AcceptState::default());
+        let accept = task::spawn(accept(listener, limits, Arc::clone(&state), respond));
         Ok(Self {
             address,
-            gate,
+            state,
             accept: Some(accept),
         })
     }
@@ -120,10 +120,10 @@
         self.address
     }
 
-    /// Returns the gate, through which a stand-in plays dead.
+    /// Returns the state, through which a stand-in plays dead.
     #[must_use]
-    pub fn gate(&self) -> Arc<Gate> {
-        Arc::clone(&self.gate)
+    pub fn accept_state(&self) -> Arc<AcceptState> {
+        Arc::clone(&self.state)
     }
 
     /// Stops accepting; open connections go on.
@@ -142,29 +142,33 @@
     }
 }
 
-async fn accept<F, Fut>(listener: TcpListener, limits: Limits, gate: Arc<Gate>, respond: F)
+async fn accept<F, Fut>(listener: TcpListener, limits: Limits, state: Arc<AcceptState>, respond: F)
 where
     F: Fn(Request) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Result<Response>> + Send + 'static,
 {
     /// Rest after a failed accept, which usually means that file descriptors ran out.
-    const REST: Duration = Duration::from_millis(50);
+    const RETRY_DELAY: Duration = Duration::from_millis(50);
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if gate.is_shut() || gate.open() >= limits.connections => drop(stream),
+            Ok((stream, _))
+                if state.is_rejecting() || state.open_connections() >= limits.max_connections =>
+            {
+                drop(stream);
+            }
             Ok((stream, peer)) => {
-                gate.open.fetch_add(1, Ordering::SeqCst);
-                let (gate, respond) = (Arc::clone(&gate), respond.clone());
+                state.open.fetch_add(1, Ordering::SeqCst);
+                let (state, respond) = (Arc::clone(&state), respond.clone());
                 task::spawn(async move {
                     if let Err(cause) = handle(stream, limits, respond).await {
                         log::debug!("event=connection_ended peer={peer} cause=\"{cause}\"");
                     }
-                    gate.open.fetch_sub(1, Ordering::SeqCst);
+                    state.open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
             Err(cause) => {
                 log::warn!("event=accept_failed cause=\"{cause}\"");
-                task::sleep(REST).await;
+                task::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -191,7 +195,7 @@
     loop {
         begun.store(false, Ordering::SeqCst);
         let slow_head = async {
-            task::sleep(limits.head).await;
+            task::sleep(limits.head_timeout).await;
             if begun.load(Ordering::SeqCst) {
                 std::future::pending::<()>().await;
             }
@@ -202,7 +206,7 @@
             Some(Ok(ConnectionStatus::Close)) => return Ok(()),
             Some(Err(cause)) => {
                 if !begun.load(Ordering::SeqCst) {
-                    refuse(stream, BAD_HEAD).await;
+                    refuse(stream, MALFORMED_HEAD).await;
                 }
                 return Err(cause);
             }
@@ -229,7 +233,10 @@
 }
 
 /// Runs `work` unless the caller of `connection` goes away first.
-pub async fn unless_closed<T>(connection: &Connection, work: impl Future<Output = T>) -> Option<T> {
+pub async fn run_until_closed<T>(
+    connection: &Connection,
+    work: impl Future<Output = T>,
+) -> Option<T> {
     let gone = async {
         connection.closed().await;
         None
--- a/crates/peridotdeck-load/src/caller.rs
+++ b/crates/peridotdeck-load/src/caller.rs
@@ -95,7 +95,7 @@
     let load = &experiment.loads[arrival.load];
     let organisation = &experiment.organisations[arrival.organisation].name;
     let request = build(load, arrival, organisation, address)?;
-    let response = client::call(address, request, patience).await;
+    let response = client::request(address, request, patience).await;
     let mut response =
         response.map_err(|cause| http_types::Error::from_str(502, cause.to_string()))?;
     if !response.status().is_success() {
--- a/crates/peridotdeck-load/src/paths.rs
+++ b/crates/peridotdeck-load/src/paths.rs
@@ -105,7 +105,7 @@
 impl Dial for From {
     async fn connect(&self, place: &str, address: SocketAddr) -> Result<TcpStream, client::Error> {
         let Some(delay) = self.map.delay(&self.place, place) else {
-            task::sleep(client::CONNECT).await;
+            task::sleep(client::CONNECT_TIMEOUT).await;
             let cause = io::Error::new(io::ErrorKind::TimedOut, "the path is cut");
             return Err(client::Error::Unreachable(cause));
         };
--- a/crates/peridotdeck-router/src/attempt.rs
+++ b/crates/peridotdeck-router/src/attempt.rs
@@ -83,7 +83,7 @@
         Ok(response) => Ok(response),
         Err(client::Error::Unreachable(_)) => Err(Outcome::Unreachable),
         Err(client::Error::Broken(_)) => Err(Outcome::Broken),
-        Err(client::Error::Silent) => Err(Outcome::Silent),
+        Err(client::Error::TimedOut) => Err(Outcome::Silent),
     }
 }
 
--- a/crates/peridotdeck-router/src/attempt/answer.rs
+++ b/crates/peridotdeck-router/src/attempt/answer.rs
@@ -5,7 +5,7 @@
 use async_channel::Sender;
 use http_types::{Response, StatusCode};
 use peridotdeck_core::id;
-use peridotdeck_http::body::{self, Feed};
+use peridotdeck_http::body::{self, ChunkSender};
 use serde_json::{Value, json};
 
 use crate::{fault::Fault, metrics::Sample};
@@ -30,7 +30,7 @@
 pub struct Answer {
     request: id::Request,
     head: Option<Sender<Response>>,
-    feed: Option<Feed>,
+    feed: Option<ChunkSender>,
     streams: bool,
     chat: bool,
     text: String,
--- a/crates/peridotdeck-router/src/peers.rs
+++ b/crates/peridotdeck-router/src/peers.rs
@@ -99,7 +99,7 @@
         let envelope = self.envelope(body);
         match encode(&envelope) {
             Ok(bytes) => self.send_datagram(&to, bytes, kind(&envelope.body), delay),
-            Err(Error::Large(_)) => self.deliver(to, envelope),
+            Err(Error::TooLarge(_)) => self.deliver(to, envelope),
             Err(cause) => log::error!("event=encode_failed cause=\"{cause}\""),
         }
     }
--- a/crates/peridotdeck-router/src/platform.rs
+++ b/crates/peridotdeck-router/src/platform.rs
@@ -152,7 +152,7 @@
 ) -> http_types::Result<T> {
     let request = Request::get(client::url(address, path)?);
     let broken = |cause| http_types::Error::new(http_types::StatusCode::BadGateway, cause);
-    let mut response = client::call(address, request, wait + GRACE)
+    let mut response = client::request(address, request, wait + GRACE)
         .await
         .map_err(broken)?;
     if !response.status().is_success() {
--- a/crates/peridotdeck-router/src/router.rs
+++ b/crates/peridotdeck-router/src/router.rs
@@ -241,8 +241,8 @@
     dial: D,
 ) -> io::Result<Server> {
     let limits = Limits {
-        head: Duration::from_millis(settings.body_timeout_ms.into()),
-        connections: settings.open_connections as usize,
+        head_timeout: Duration::from_millis(settings.body_timeout_ms.into()),
+        max_connections: settings.open_connections as usize,
     };
     let desk = callers::Desk {
         handle: handle.clone(),
--- a/crates/peridotdeck-router/tests/testsuite/operators.rs
+++ b/crates/peridotdeck-router/tests/testsuite/operators.rs
@@ -14,7 +14,7 @@
 
 async fn get(site: &Site, path: &str) -> (u16, String) {
     let request = Request::new(Method::Get, client::url(site.address(), path).unwrap());
-    let mut response = client::call(site.address(), request, PATIENCE)
+    let mut response = client::request(site.address(), request, PATIENCE)
         .await
         .unwrap();
     (
--- a/crates/peridotdeck-router/tests/testsuite/site.rs
+++ b/crates/peridotdeck-router/tests/testsuite/site.rs
@@ -183,7 +183,7 @@
 }
 
 pub async fn send(address: SocketAddr, request: Request) -> Response {
-    client::call(address, request, PATIENCE).await.unwrap()
+    client::request(address, request, PATIENCE).await.unwrap()
 }
 
 pub async fn value(mut response: Response) -> Value {
--- a/crates/peridotdeck-router/tests/testsuite/streams.rs
+++ b/crates/peridotdeck-router/tests/testsuite/streams.rs
@@ -83,7 +83,7 @@
     block_on(async {
         let site = Site::start(&[slow()], 1).await;
         let request = chat(site.address(), "nobody reads about 5000 words", true);
-        let response = client::call(site.address(), request, crate::site::PATIENCE)
+        let response = client::request(site.address(), request, crate::site::PATIENCE)
             .await
             .unwrap();
         drop(response);
--- a/crates/peridotdeck-wire/src/codec.rs
+++ b/crates/peridotdeck-wire/src/codec.rs
@@ -31,7 +31,7 @@
             display("protocol version {version}, this build speaks {VERSION}")
         }
         /// The message exceeds [`MAX_DATAGRAM`]; send it as a JSON-RPC call.
-        Large(size: usize) {
+        TooLarge(size: usize) {
             display("message of {size} bytes exceeds a datagram of {MAX_DATAGRAM}")
         }
     }
@@ -40,7 +40,7 @@
 /// Encodes an envelope for a datagram.
 ///
 /// # Errors
-/// [`Error::Large`] if the message does not fit.
+/// [`Error::TooLarge`] if the message does not fit.
 pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, Error> {
     pack(envelope)
 }
@@ -56,11 +56,11 @@
 /// Encodes any message type of this crate for a datagram.
 ///
 /// # Errors
-/// [`Error::Large`] if the message does not fit.
+/// [`Error::TooLarge`] if the message does not fit.
 pub fn pack<T: Serialize>(message: &T) -> Result<Vec<u8>, Error> {
     let bytes = postcard::to_extend(message, vec![VERSION])?;
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Error::Large(bytes.len()));
+        return Err(Error::TooLarge(bytes.len()));
     }
     Ok(bytes)
 }
@@ -71,7 +71,7 @@
 /// Any malformed, oversized, trailing or foreign-version input is an error value, never a panic.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Error::Large(bytes.len()));
+        return Err(Error::TooLarge(bytes.len()));
     }
     let Some((&version, message)) = bytes.split_first() else {
         return Err(Error::Malformed(postcard::Error::DeserializeUnexpectedEnd));
--- a/crates/peridotdeck-wire/tests/testsuite/codec.rs
+++ b/crates/peridotdeck-wire/tests/testsuite/codec.rs
@@ -66,10 +66,10 @@
 
 #[test]
 fn too_large() {
-    assert!(matches!(encode(&gossip(1_000)), Err(Error::Large(_))));
+    assert!(matches!(encode(&gossip(1_000)), Err(Error::TooLarge(_))));
     assert!(matches!(
         decode(&vec![VERSION; MAX_DATAGRAM + 1]),
-        Err(Error::Large(_))
+        Err(Error::TooLarge(_))
     ));
 }
 
