--- a/crates/peridotdeck-http/src/body.rs
+++ b/crates/peridotdeck-http/src/body.rs
@@ -1,4 +1,4 @@
-//! A response body fed chunk by chunk.
+//! Response body that is produced chunk by chunk.
 
 use std::io;
 
@@ -6,16 +6,17 @@
 use futures_util::TryStreamExt;
 use http_types::Body;
 
-/// Chunks between a producer and its connection: a slow caller slows its producer down.
+/// Number of chunks buffered for a connection; when it is full, the producer waits.
 const BUFFERED_CHUNKS: usize = 16;
 
-/// The producer's end; a send fails once the connection is gone.
+/// Sender of a body's chunks; sending fails once the connection is closed.
 pub type ChunkSender = Sender<io::Result<Vec<u8>>>;
 
-/// Returns a body and the feed for it.
+/// Returns a body and the sender of its chunks.
 ///
-/// Each chunk is written to the connection as it comes. An error cuts the connection, so that the
-/// caller cannot take a broken answer for a whole one; dropping the feed ends the body well.
+/// Each chunk is written to the connection as it arrives. Sending an error closes the connection
+/// early, so that the caller cannot take a truncated response for a complete one. Dropping the
+/// sender ends the body normally.
 #[must_use]
 pub fn channel() -> (ChunkSender, Body) {
     let (sender, chunks): (ChunkSender, Receiver<io::Result<Vec<u8>>>) =
--- a/crates/peridotdeck-http/src/client.rs
+++ b/crates/peridotdeck-http/src/client.rs
@@ -1,8 +1,8 @@
-//! One HTTP call on a new connection.
+//! Sends one HTTP request on a new connection.
 //!
-//! Connections are not reused: an idle one may have been forgotten by something between the two
-//! ends, and a call that may not be repeated must never find that out. Within a data centre a new
-//! connection costs one round trip of about a millisecond.
+//! Connections are not reused. A firewall or proxy may silently have dropped an idle connection,
+//! and a request that must not be repeated would then fail on it with an unknown outcome. Within a
+//! data centre a new connection costs one round trip of about a millisecond.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -10,43 +10,43 @@
 use http_types::{Request, Response, Url};
 use quick_error::quick_error;
 
-/// Longest time to open a connection.
+/// Timeout for opening a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 quick_error! {
-    /// Why a call got no response head.
+    /// Why a request got no response head.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection was opened, so the call did not run.
+        /// No connection was opened, so the request did not run.
         Unreachable(cause: io::Error) {
             display("cannot connect: {cause}")
             source(cause)
         }
-        /// The connection broke after bytes were sent, so the call may have run.
+        /// The connection broke after sending had begun, so the request may have run.
         Broken(cause: String) {
             display("connection broke: {cause}")
         }
-        /// No response head came in time, so the call may have run.
+        /// No response head arrived in time, so the request may have run.
         TimedOut {
-            display("no response in time")
+            display("no response head within the timeout")
         }
     }
 }
 
-/// Opens a connection without delay of small packets.
+/// Opens a connection with Nagle's algorithm disabled.
 ///
 /// # Errors
 /// [`Error::Unreachable`] if the peer refuses or does not answer within [`CONNECT_TIMEOUT`].
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, Error> {
     let attempt = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    let late = |_| {
+    let timed_out = |_| {
         io::Error::new(
             io::ErrorKind::TimedOut,
             "no answer to the connection request",
         )
     };
     let stream = attempt
-        .map_err(late)
+        .map_err(timed_out)
         .and_then(|opened| opened)
         .map_err(Error::Unreachable)?;
     stream.set_nodelay(true).map_err(Error::Unreachable)?;
@@ -56,7 +56,7 @@
 /// Sends a request on an open connection and waits for the response head.
 ///
 /// # Errors
-/// [`Error::Broken`] or [`Error::TimedOut`]; either way the call may have run.
+/// [`Error::Broken`] or [`Error::TimedOut`]; either way the request may have run.
 pub async fn send(
     stream: TcpStream,
     request: Request,
@@ -72,7 +72,7 @@
 /// Connects, sends a request and waits for the response head.
 ///
 /// # Errors
-/// See [`connect`] and [`send`].
+/// Those of [`connect`] and [`send`].
 pub async fn request(
     address: SocketAddr,
     request: Request,
@@ -85,7 +85,7 @@
 /// Returns the URL of a path at an address.
 ///
 /// # Errors
-/// If the path is no part of a URL.
+/// If the path is not valid in a URL.
 pub fn url(address: SocketAddr, path: &str) -> Result<Url, http_types::url::ParseError> {
     Url::parse(&format!("http://{address}{path}"))
 }
--- a/crates/peridotdeck-http/src/server.rs
+++ b/crates/peridotdeck-http/src/server.rs
@@ -1,4 +1,4 @@
-//! An accept loop with limits and a graceful stop.
+//! HTTP server with connection limits and a graceful stop.
 
 use std::{
     io,
@@ -19,18 +19,18 @@
 use futures_lite::future::or;
 use http_types::{Request, Response, Result};
 
-/// Status and message for a head that is not HTTP, too long, or has too many headers.
+/// Status and message for a request head that is not HTTP, is too long or has too many headers.
 const MALFORMED_HEAD: (&str, &str) = ("400 Bad Request", "unreadable request head");
 
-/// Status and message for a head that does not come in time.
+/// Status and message for a request head that does not arrive in time.
 const SLOW_HEAD: (&str, &str) = ("408 Request Timeout", "request head took too long");
 
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time for a request's head, counted from the previous response on the connection.
+    /// Timeout for a request's head, counted from the previous response on the connection.
     pub head_timeout: Duration,
-    /// Open connections; more are closed at once.
+    /// Maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
 }
 
@@ -43,15 +43,15 @@
     }
 }
 
-/// The connection that a request came on, found among the request's extensions.
+/// Connection on which a request arrived; stored in the request's extensions.
 #[derive(Clone, Debug)]
 pub struct Connection(pub TcpStream);
 
 impl Connection {
-    /// Returns once the other end has closed the connection.
+    /// Waits until the peer has closed the connection.
     ///
-    /// Bytes that come meanwhile belong to a pipelined request; then closing is not noticed until
-    /// something is written.
+    /// Bytes that arrive meanwhile belong to a pipelined request. A close is then not detected
+    /// until the next write.
     pub async fn closed(&self) {
         let mut byte = [0];
         match self.0.peek(&mut byte).await {
@@ -61,7 +61,7 @@
     }
 }
 
-/// A running server; dropping it stops accepting.
+/// Running server; dropping it stops accepting connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -77,7 +77,7 @@
 }
 
 impl AcceptState {
-    /// Closes every new connection at once while shut, as a crashed process would.
+    /// Sets whether every new connection is closed at once, to simulate a crashed process.
     pub fn set_rejecting(&self, rejecting: bool) {
         self.rejecting.store(rejecting, Ordering::SeqCst);
     }
@@ -86,7 +86,7 @@
         self.rejecting.load(Ordering::SeqCst)
     }
 
-    /// Returns the open connections.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
@@ -114,19 +114,19 @@
         })
     }
 
-    /// Returns the address, with the port that the system chose.
+    /// Returns the bound address, with the port that the system chose for port 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the state, through which a stand-in plays dead.
+    /// Returns the accept state, with which a fake simulates a crash.
     #[must_use]
     pub fn accept_state(&self) -> Arc<AcceptState> {
         Arc::clone(&self.state)
     }
 
-    /// Stops accepting; open connections go on.
+    /// Stops accepting connections; open connections continue.
     pub async fn stop(mut self) {
         if let Some(accept) = self.accept.take() {
             accept.cancel().await;
@@ -147,7 +147,7 @@
     F: Fn(Request) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Result<Response>> + Send + 'static,
 {
-    /// Rest after a failed accept, which usually means that file descriptors ran out.
+    /// Delay after a failed accept, which usually means that file descriptors ran out.
     const RETRY_DELAY: Duration = Duration::from_millis(50);
     loop {
         match listener.accept().await {
@@ -176,8 +176,8 @@
 
 /// Answers the requests of one connection in turn.
 ///
-/// A head that does not come in time or cannot be read is answered here, because `async-h1` would
-/// close the connection without a word.
+/// A request head that does not arrive in time or cannot be parsed is answered here, because
+/// `async-h1` would close the connection without a response.
 async fn handle<F, Fut>(stream: TcpStream, limits: Limits, respond: F) -> Result<()>
 where
     F: Fn(Request) -> Fut,
@@ -218,7 +218,9 @@
     }
 }
 
-/// Writes an error in the callers' format and closes; the caller may be gone already.
+/// Writes an error in the callers' format and closes the connection.
+///
+/// Write errors are ignored, since the caller may already have closed it.
 async fn refuse(mut stream: TcpStream, (status, message): (&str, &str)) {
     let body = format!(
         r#"{{"error":{{"message":"{message}","type":"invalid_request","verdict":"not_run"}}}}"#
@@ -232,14 +234,14 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Runs `work` unless the caller of `connection` goes away first.
+/// Returns the result of `work`, or `None` if the caller closes the connection first.
 pub async fn run_until_closed<T>(
     connection: &Connection,
     work: impl Future<Output = T>,
 ) -> Option<T> {
-    let gone = async {
+    let closed = async {
         connection.closed().await;
         None
     };
-    or(async { Some(work.await) }, gone).await
+    or(async { Some(work.await) }, closed).await
 }
--- a/crates/peridotdeck-wire/src/beat.rs
+++ b/crates/peridotdeck-wire/src/beat.rs
@@ -43,14 +43,14 @@
         }
     }
 }
-///Periodic datagram between nodes that place requests without owners.
+///Periodic heartbeat datagram between nodes that schedule their own callers' requests without pool owners.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
 ///  "title": "Beat",
-///  "description": "Periodic datagram between nodes that place requests without owners.",
+///  "description": "Periodic heartbeat datagram between nodes that schedule their own callers' requests without pool owners.",
 ///  "type": "object",
 ///  "required": [
 ///    "first",
@@ -71,61 +71,61 @@
 ///  ],
 ///  "properties": {
 ///    "first": {
-///      "description": "Smallest digest of an endpoint of which this beat tells the load.",
+///      "description": "Smallest endpoint digest in the range whose loads this heartbeat reports.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "health": {
-///      "description": "Failures that the sender has seen lately.",
+///      "description": "Outcomes of recent attempts that the sender has seen, by endpoint.",
 ///      "type": "array",
 ///      "items": {
 ///        "$ref": "#/definitions/Health"
 ///      }
 ///    },
 ///    "holdings": {
-///      "description": "Prompt prefixes that endpoints have read lately.",
+///      "description": "Prompt prefixes that endpoints have prefilled recently.",
 ///      "type": "array",
 ///      "items": {
 ///        "$ref": "#/definitions/Holding"
 ///      }
 ///    },
 ///    "incarnation": {
-///      "description": "Random number of the sending process.",
+///      "description": "Random number that identifies the sending process.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
 ///    },
 ///    "joining": {
-///      "description": "Whether the sender knows nobody yet and wants an answer.",
+///      "description": "Whether the sender knows no peers yet and requests a heartbeat in response.",
 ///      "type": "boolean"
 ///    },
 ///    "last": {
-///      "description": "Largest digest of an endpoint of which this beat tells the load; those in between that are not named have none.",
+///      "description": "Largest endpoint digest in the range whose loads this heartbeat reports; endpoints in the range that are not listed have no load.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "leaving": {
-///      "description": "Whether the sender shuts down.",
+///      "description": "Whether the sender is shutting down.",
 ///      "type": "boolean"
 ///    },
 ///    "loads": {
-///      "description": "Load of the sender, or of its whole data centre where the receiver is in another, sorted by endpoint.",
+///      "description": "Load caused by the sender, or by its whole data centre if the receiver is in another one, sorted by endpoint.",
 ///      "type": "array",
 ///      "items": {
 ///        "$ref": "#/definitions/Load"
 ///      }
 ///    },
 ///    "members": {
-///      "description": "Live nodes that the sender has heard of.",
+///      "description": "Live nodes that the sender knows.",
 ///      "type": "array",
 ///      "items": {
 ///        "$ref": "#/definitions/Member"
 ///      }
 ///    },
 ///    "node": {
-///      "description": "IPv4 address of the sender.",
+///      "description": "IPv4 address of the sender as a number.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -137,25 +137,25 @@
 ///      "minimum": 0.0
 ///    },
 ///    "policy": {
-///      "description": "Revision of the configuration that the sender follows.",
+///      "description": "Revision of the configuration that the sender has.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
 ///    },
 ///    "roster": {
-///      "description": "Revision of the endpoint list that the sender follows.",
+///      "description": "Revision of the endpoint list that the sender has.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
 ///    },
 ///    "sequence": {
-///      "description": "Counter of the sender's beats.",
+///      "description": "Counter of the sender's heartbeats.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
 ///    },
 ///    "strikes": {
-///      "description": "Requests that crashed endpoints.",
+///      "description": "Crashes of endpoints that are attributed to requests.",
 ///      "type": "array",
 ///      "items": {
 ///        "$ref": "#/definitions/Strike"
@@ -169,35 +169,35 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Beat {
-    ///Smallest digest of an endpoint of which this beat tells the load.
+    ///Smallest endpoint digest in the range whose loads this heartbeat reports.
     pub first: u32,
-    ///Failures that the sender has seen lately.
+    ///Outcomes of recent attempts that the sender has seen, by endpoint.
     pub health: ::std::vec::Vec<Health>,
-    ///Prompt prefixes that endpoints have read lately.
+    ///Prompt prefixes that endpoints have prefilled recently.
     pub holdings: ::std::vec::Vec<Holding>,
-    ///Random number of the sending process.
+    ///Random number that identifies the sending process.
     pub incarnation: u64,
-    ///Whether the sender knows nobody yet and wants an answer.
+    ///Whether the sender knows no peers yet and requests a heartbeat in response.
     pub joining: bool,
-    ///Largest digest of an endpoint of which this beat tells the load; those in between that are not named have none.
+    ///Largest endpoint digest in the range whose loads this heartbeat reports; endpoints in the range that are not listed have no load.
     pub last: u32,
-    ///Whether the sender shuts down.
+    ///Whether the sender is shutting down.
     pub leaving: bool,
-    ///Load of the sender, or of its whole data centre where the receiver is in another, sorted by endpoint.
+    ///Load caused by the sender, or by its whole data centre if the receiver is in another one, sorted by endpoint.
     pub loads: ::std::vec::Vec<Load>,
-    ///Live nodes that the sender has heard of.
+    ///Live nodes that the sender knows.
     pub members: ::std::vec::Vec<Member>,
-    ///IPv4 address of the sender.
+    ///IPv4 address of the sender as a number.
     pub node: u32,
     ///Digest of the sender's data centre.
     pub place: u32,
-    ///Revision of the configuration that the sender follows.
+    ///Revision of the configuration that the sender has.
     pub policy: u64,
-    ///Revision of the endpoint list that the sender follows.
+    ///Revision of the endpoint list that the sender has.
     pub roster: u64,
-    ///Counter of the sender's beats.
+    ///Counter of the sender's heartbeats.
     pub sequence: u64,
-    ///Requests that crashed endpoints.
+    ///Crashes of endpoints that are attributed to requests.
     pub strikes: ::std::vec::Vec<Strike>,
 }
 impl ::std::convert::From<&Beat> for Beat {
@@ -205,13 +205,13 @@
         value.clone()
     }
 }
-///Ends of attempts at one endpoint, in eighths, weighted by how recent they are.
+///Outcomes of attempts at one endpoint in units of an eighth attempt; older attempts count less.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Ends of attempts at one endpoint, in eighths, weighted by how recent they are.",
+///  "description": "Outcomes of attempts at one endpoint in units of an eighth attempt; older attempts count less.",
 ///  "type": "object",
 ///  "required": [
 ///    "bad",
@@ -225,7 +225,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "endpoint": {
-///      "description": "Digest of the endpoint's id and start.",
+///      "description": "Digest of the endpoint's id and start time.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -244,7 +244,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Health {
     pub bad: u32,
-    ///Digest of the endpoint's id and start.
+    ///Digest of the endpoint's id and start time.
     pub endpoint: u32,
     pub good: u32,
 }
@@ -253,13 +253,13 @@
         value.clone()
     }
 }
-///An endpoint has read a prompt prefix.
+///A prompt prefix that an endpoint has prefilled.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "An endpoint has read a prompt prefix.",
+///  "description": "A prompt prefix that an endpoint has prefilled.",
 ///  "type": "object",
 ///  "required": [
 ///    "endpoint",
@@ -267,13 +267,13 @@
 ///  ],
 ///  "properties": {
 ///    "endpoint": {
-///      "description": "Digest of the endpoint's id and start.",
+///      "description": "Digest of the endpoint's id and start time.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "prefix": {
-///      "description": "Digest of the prompt parts up to here.",
+///      "description": "Digest of all prompt parts up to the end of the prefix.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
@@ -286,9 +286,9 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Holding {
-    ///Digest of the endpoint's id and start.
+    ///Digest of the endpoint's id and start time.
     pub endpoint: u32,
-    ///Digest of the prompt parts up to here.
+    ///Digest of all prompt parts up to the end of the prefix.
     pub prefix: u64,
 }
 impl ::std::convert::From<&Holding> for Holding {
@@ -296,13 +296,13 @@
         value.clone()
     }
 }
-///What has been sent to one endpoint and has not ended.
+///Requests that were sent to one endpoint and have not ended.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "What has been sent to one endpoint and has not ended.",
+///  "description": "Requests that were sent to one endpoint and have not ended.",
 ///  "type": "object",
 ///  "required": [
 ///    "endpoint",
@@ -312,25 +312,25 @@
 ///  ],
 ///  "properties": {
 ///    "endpoint": {
-///      "description": "Digest of the endpoint's id and start.",
+///      "description": "Digest of the endpoint's id and start time.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "running": {
-///      "description": "Requests.",
+///      "description": "Number of requests.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "unread": {
-///      "description": "Prompt tokens that it has yet to read.",
+///      "description": "Number of prompt tokens that the endpoint has not prefilled yet.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "urgent": {
-///      "description": "Requests with a short target among those that run.",
+///      "description": "Number of running requests that have a short latency target.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -343,13 +343,13 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    ///Digest of the endpoint's id and start.
+    ///Digest of the endpoint's id and start time.
     pub endpoint: u32,
-    ///Requests.
+    ///Number of requests.
     pub running: u32,
-    ///Prompt tokens that it has yet to read.
+    ///Number of prompt tokens that the endpoint has not prefilled yet.
     pub unread: u32,
-    ///Requests with a short target among those that run.
+    ///Number of running requests that have a short latency target.
     pub urgent: u32,
 }
 impl ::std::convert::From<&Load> for Load {
@@ -371,13 +371,13 @@
 ///  ],
 ///  "properties": {
 ///    "node": {
-///      "description": "IPv4 address.",
+///      "description": "IPv4 address as a number.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "place": {
-///      "description": "Digest of its data centre.",
+///      "description": "Digest of the node's data centre.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -390,9 +390,9 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    ///IPv4 address.
+    ///IPv4 address as a number.
     pub node: u32,
-    ///Digest of its data centre.
+    ///Digest of the node's data centre.
     pub place: u32,
 }
 impl ::std::convert::From<&Member> for Member {
@@ -400,13 +400,13 @@
         value.clone()
     }
 }
-///A request crashed an endpoint.
+///A crash of an endpoint that is attributed to a request.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "A request crashed an endpoint.",
+///  "description": "A crash of an endpoint that is attributed to a request.",
 ///  "type": "object",
 ///  "required": [
 ///    "endpoint",
@@ -414,13 +414,13 @@
 ///  ],
 ///  "properties": {
 ///    "endpoint": {
-///      "description": "Digest of the endpoint's id and start.",
+///      "description": "Digest of the endpoint's id and start time.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "fingerprint": {
-///      "description": "Digest of organisation and whole request.",
+///      "description": "Digest of the organisation and the whole request.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
@@ -433,9 +433,9 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Strike {
-    ///Digest of the endpoint's id and start.
+    ///Digest of the endpoint's id and start time.
     pub endpoint: u32,
-    ///Digest of organisation and whole request.
+    ///Digest of the organisation and the whole request.
     pub fingerprint: u64,
 }
 impl ::std::convert::From<&Strike> for Strike {
--- a/crates/peridotdeck-wire/src/codec.rs
+++ b/crates/peridotdeck-wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! The compact encoding of an envelope.
+//! Binary encoding of messages in datagrams.
 
 use quick_error::quick_error;
 use serde::{Serialize, de::DeserializeOwned};
@@ -8,15 +8,17 @@
 /// Protocol version, the first byte of a datagram; other versions are dropped and counted.
 pub const VERSION: u8 = 1;
 
-/// Largest datagram in bytes: it fits one Ethernet frame after IP and UDP headers, so a single
-/// lost fragment cannot lose a larger message.
+/// Maximum size of a datagram in bytes.
+///
+/// It fits one Ethernet frame with IP and UDP headers, so datagrams are never fragmented and the
+/// loss of one fragment cannot lose a larger message.
 pub const MAX_DATAGRAM: usize = 1_400;
 
 quick_error! {
-    /// Why a datagram was refused or a message could not be encoded.
+    /// Why a datagram was rejected or a message could not be encoded.
     #[derive(Debug)]
     pub enum Error {
-        /// The bytes are no message of this protocol.
+        /// The bytes are not a valid message of this protocol.
         Malformed(cause: postcard::Error) {
             display("malformed message: {cause}")
             from()
@@ -26,13 +28,13 @@
         Trailing(count: usize) {
             display("{count} bytes follow the message")
         }
-        /// The sender speaks another protocol version.
+        /// The sender uses another protocol version.
         Version(version: u8) {
-            display("protocol version {version}, this build speaks {VERSION}")
+            display("protocol version {version} is not supported; this build uses {VERSION}")
         }
-        /// The message exceeds [`MAX_DATAGRAM`]; send it as a JSON-RPC call.
+        /// The message exceeds [`MAX_DATAGRAM`]; send it as a JSON-RPC request.
         TooLarge(size: usize) {
-            display("message of {size} bytes exceeds a datagram of {MAX_DATAGRAM}")
+            display("message of {size} bytes exceeds the datagram limit of {MAX_DATAGRAM}")
         }
     }
 }
@@ -45,10 +47,11 @@
     pack(envelope)
 }
 
-/// Decodes one datagram that should hold an envelope.
+/// Decodes a datagram that holds an envelope.
 ///
 /// # Errors
-/// Any malformed, oversized, trailing or foreign-version input is an error value, never a panic.
+/// If the input is malformed, too large, followed by more bytes or of another protocol version. No
+/// input causes a panic.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, Error> {
     unpack(bytes)
 }
@@ -65,10 +68,11 @@
     Ok(bytes)
 }
 
-/// Decodes one datagram that should hold a message of a type of this crate.
+/// Decodes a datagram that holds a message of any type of this crate.
 ///
 /// # Errors
-/// Any malformed, oversized, trailing or foreign-version input is an error value, never a panic.
+/// If the input is malformed, too large, followed by more bytes or of another protocol version. No
+/// input causes a panic.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(Error::TooLarge(bytes.len()));
--- a/crates/peridotdeck-wire/src/generated.rs
+++ b/crates/peridotdeck-wire/src/generated.rs
@@ -43,13 +43,13 @@
         }
     }
 }
-///What a witness says to a claim.
+///Result of a claim at a witness.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "What a witness says to a claim.",
+///  "description": "Result of a claim at a witness.",
 ///  "oneOf": [
 ///    {
 ///      "type": "string",
@@ -92,13 +92,13 @@
         Self::Taken(value)
     }
 }
-///Asks the owner of a pool for a slot.
+///Requests a slot from the owner of a pool.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Asks the owner of a pool for a slot.",
+///  "description": "Requests a slot from the owner of a pool.",
 ///  "type": "object",
 ///  "required": [
 ///    "attempt",
@@ -146,31 +146,31 @@
 ///      "minimum": 0.0
 ///    },
 ///    "prefix": {
-///      "description": "Digest of the prompt's beginning; 0 for none.",
+///      "description": "Digest of the prompt's prefix; 0 if there is none.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
 ///    },
 ///    "prompt": {
-///      "description": "Prompt size in tokens.",
+///      "description": "Number of prompt tokens.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "strikes": {
-///      "description": "Endpoints that died while they ran this request.",
+///      "description": "Number of endpoints that crashed while they ran this request.",
 ///      "type": "integer",
 ///      "format": "uint8",
 ///      "minimum": 0.0
 ///    },
 ///    "tokens": {
-///      "description": "Expected output in tokens.",
+///      "description": "Expected number of output tokens.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "waited_ms": {
-///      "description": "Time that the request has waited already, in milliseconds.",
+///      "description": "Time that the request has already waited, in milliseconds.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -191,15 +191,15 @@
     pub fingerprint: u64,
     pub organisation: ::std::string::String,
     pub pool: u64,
-    ///Digest of the prompt's beginning; 0 for none.
+    ///Digest of the prompt's prefix; 0 if there is none.
     pub prefix: u64,
-    ///Prompt size in tokens.
+    ///Number of prompt tokens.
     pub prompt: u32,
-    ///Endpoints that died while they ran this request.
+    ///Number of endpoints that crashed while they ran this request.
     pub strikes: u8,
-    ///Expected output in tokens.
+    ///Expected number of output tokens.
     pub tokens: u32,
-    ///Time that the request has waited already, in milliseconds.
+    ///Time that the request has already waited, in milliseconds.
     pub waited_ms: u32,
 }
 impl ::std::convert::From<&Ask> for Ask {
@@ -223,7 +223,7 @@
 ///  ],
 ///  "properties": {
 ///    "counter": {
-///      "description": "Heartbeats since the start of the incarnation.",
+///      "description": "Number of heartbeats since the start of the incarnation.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -249,7 +249,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Beat {
-    ///Heartbeats since the start of the incarnation.
+    ///Number of heartbeats since the start of the incarnation.
     pub counter: u32,
     pub incarnation: u64,
     pub leaving: bool,
@@ -260,13 +260,13 @@
         value.clone()
     }
 }
-///What the message says.
+///Content of the message.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "What the message says.",
+///  "description": "Content of the message.",
 ///  "oneOf": [
 ///    {
 ///      "type": "object",
@@ -586,13 +586,13 @@
         Self::Delta(value)
     }
 }
-///Asks a witness to reserve an idempotency key for one attempt.
+///Requests that a witness reserve an idempotency key for one attempt.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Asks a witness to reserve an idempotency key for one attempt.",
+///  "description": "Requests that a witness reserve an idempotency key for one attempt.",
 ///  "type": "object",
 ///  "required": [
 ///    "attempt",
@@ -607,17 +607,17 @@
 ///      "minimum": 0.0
 ///    },
 ///    "digest": {
-///      "description": "Digest of the call's method, path and body.",
+///      "description": "Digest of the request's method, path and body.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
 ///    },
 ///    "key": {
-///      "description": "Digest of organisation, service and idempotency key.",
+///      "description": "Digest of the organisation, the service and the idempotency key.",
 ///      "type": "string"
 ///    },
 ///    "roster": {
-///      "description": "Index of the VM list that named the witnesses.",
+///      "description": "Index of the VM list from which the witnesses were chosen.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
@@ -631,11 +631,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Claim {
     pub attempt: u64,
-    ///Digest of the call's method, path and body.
+    ///Digest of the request's method, path and body.
     pub digest: u64,
-    ///Digest of organisation, service and idempotency key.
+    ///Digest of the organisation, the service and the idempotency key.
     pub key: ::std::string::String,
-    ///Index of the VM list that named the witnesses.
+    ///Index of the VM list from which the witnesses were chosen.
     pub roster: u64,
 }
 impl ::std::convert::From<&Claim> for Claim {
@@ -674,7 +674,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "vouches": {
-///      "description": "Whether the sender has forgotten nothing that it voted on.",
+///      "description": "Whether the sender still has every reservation on which it has voted.",
 ///      "type": "boolean"
 ///    }
 ///  },
@@ -689,7 +689,7 @@
     ///Whether no more pages follow.
     pub last: bool,
     pub roster: u64,
-    ///Whether the sender has forgotten nothing that it voted on.
+    ///Whether the sender still has every reservation on which it has voted.
     pub vouches: bool,
 }
 impl ::std::convert::From<&Claims> for Claims {
@@ -697,13 +697,13 @@
         value.clone()
     }
 }
-///All parts changed since a revision, and the VM list if newer.
+///All configuration entries changed since a revision, and the VM list if it is newer.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "All parts changed since a revision, and the VM list if newer.",
+///  "description": "All configuration entries changed since a revision, and the VM list if it is newer.",
 ///  "type": "object",
 ///  "required": [
 ///    "from",
@@ -770,13 +770,13 @@
         value.clone()
     }
 }
-///Refuses an attempt that has not run.
+///Rejects an attempt that has not run.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Refuses an attempt that has not run.",
+///  "description": "Rejects an attempt that has not run.",
 ///  "type": "object",
 ///  "required": [
 ///    "attempt",
@@ -793,7 +793,7 @@
 ///      "$ref": "#/definitions/Reason"
 ///    },
 ///    "retry_ms": {
-///      "description": "Time in milliseconds after which a new try makes sense.",
+///      "description": "Time in milliseconds after which a retry may succeed.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -808,7 +808,7 @@
 pub struct Deny {
     pub attempt: u64,
     pub reason: Reason,
-    ///Time in milliseconds after which a new try makes sense.
+    ///Time in milliseconds after which a retry may succeed.
     pub retry_ms: u32,
 }
 impl ::std::convert::From<&Deny> for Deny {
@@ -816,13 +816,13 @@
         value.clone()
     }
 }
-///Returns a slot and reports how the attempt went.
+///Releases a slot and reports the outcome of the attempt.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Returns a slot and reports how the attempt went.",
+///  "description": "Releases a slot and reports the outcome of the attempt.",
 ///  "type": "object",
 ///  "required": [
 ///    "attempt",
@@ -840,19 +840,19 @@
 ///      "minimum": 0.0
 ///    },
 ///    "endpoint": {
-///      "description": "Endpoint that ran it; 0 if the attempt still waited.",
+///      "description": "Endpoint that ran the attempt; 0 if it was still queued.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "first_ms": {
-///      "description": "Time to the first token at the endpoint in milliseconds; 0 if none came.",
+///      "description": "Time to first token at the endpoint in milliseconds; 0 if there was no token.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "gap_us": {
-///      "description": "Mean gap between tokens in microseconds; 0 if fewer than two came.",
+///      "description": "Mean inter-token latency in microseconds; 0 if there were fewer than two tokens.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -866,7 +866,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "tokens": {
-///      "description": "Tokens delivered.",
+///      "description": "Number of tokens delivered.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -880,15 +880,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Done {
     pub attempt: u64,
-    ///Endpoint that ran it; 0 if the attempt still waited.
+    ///Endpoint that ran the attempt; 0 if it was still queued.
     pub endpoint: u32,
-    ///Time to the first token at the endpoint in milliseconds; 0 if none came.
+    ///Time to first token at the endpoint in milliseconds; 0 if there was no token.
     pub first_ms: u32,
-    ///Mean gap between tokens in microseconds; 0 if fewer than two came.
+    ///Mean inter-token latency in microseconds; 0 if there were fewer than two tokens.
     pub gap_us: u32,
     pub outcome: Outcome,
     pub pool: u64,
-    ///Tokens delivered.
+    ///Number of tokens delivered.
     pub tokens: u32,
 }
 impl ::std::convert::From<&Done> for Done {
@@ -896,13 +896,13 @@
         value.clone()
     }
 }
-///One reserved key in a witness's memory.
+///Reservation of one idempotency key at a witness.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "One reserved key in a witness's memory.",
+///  "description": "Reservation of one idempotency key at a witness.",
 ///  "type": "object",
 ///  "required": [
 ///    "age_ms",
@@ -921,7 +921,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "answer": {
-///      "description": "Body of a short answer, kept for the caller that sends again.",
+///      "description": "Body of a short response, kept for a caller that sends the request again.",
 ///      "type": "string"
 ///    },
 ///    "attempt": {
@@ -941,7 +941,7 @@
 ///      "$ref": "#/definitions/Phase"
 ///    },
 ///    "status": {
-///      "description": "HTTP status of the answer; 0 if there is none.",
+///      "description": "HTTP status of the response; 0 if there is none.",
 ///      "type": "integer",
 ///      "format": "uint16",
 ///      "minimum": 0.0
@@ -956,13 +956,13 @@
 pub struct Entry {
     ///Age of the reservation in milliseconds.
     pub age_ms: u32,
-    ///Body of a short answer, kept for the caller that sends again.
+    ///Body of a short response, kept for a caller that sends the request again.
     pub answer: ::std::string::String,
     pub attempt: u64,
     pub digest: u64,
     pub key: ::std::string::String,
     pub phase: Phase,
-    ///HTTP status of the answer; 0 if there is none.
+    ///HTTP status of the response; 0 if there is none.
     pub status: u16,
 }
 impl ::std::convert::From<&Entry> for Entry {
@@ -991,7 +991,7 @@
 ///      "$ref": "#/definitions/Body"
 ///    },
 ///    "incarnation": {
-///      "description": "Start of the sending process; grows with each restart.",
+///      "description": "Start time of the sending process in seconds; it increases with each restart.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
@@ -1003,7 +1003,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "sender": {
-///      "description": "Node that sent the message.",
+///      "description": "Number of the sending VM in the VM list.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -1023,11 +1023,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
     pub body: Body,
-    ///Start of the sending process; grows with each restart.
+    ///Start time of the sending process in seconds; it increases with each restart.
     pub incarnation: u64,
     ///Digest of the sender's data centre.
     pub place: u32,
-    ///Node that sent the message.
+    ///Number of the sending VM in the VM list.
     pub sender: u32,
     ///Counter of the sender's messages to this receiver.
     pub sequence: u64,
@@ -1037,13 +1037,13 @@
         value.clone()
     }
 }
-///Asks a peer for newer configuration and VM list.
+///Requests a newer configuration and VM list from a peer.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Asks a peer for newer configuration and VM list.",
+///  "description": "Requests a newer configuration and VM list from a peer.",
 ///  "type": "object",
 ///  "required": [
 ///    "nonce",
@@ -1052,7 +1052,7 @@
 ///  ],
 ///  "properties": {
 ///    "nonce": {
-///      "description": "Echoed in the answer, so that an old answer is not taken for a new one.",
+///      "description": "Number echoed in the response, so that a late response is not taken for a current one.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
@@ -1075,7 +1075,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fetch {
-    ///Echoed in the answer, so that an old answer is not taken for a new one.
+    ///Number echoed in the response, so that a late response is not taken for a current one.
     pub nonce: u64,
     pub revision: u64,
     pub roster: u64,
@@ -1114,7 +1114,7 @@
 ///      }
 ///    },
 ///    "probe": {
-///      "description": "Whether the receiver should answer with its own.",
+///      "description": "Whether the receiver should respond with its own heartbeat.",
 ///      "type": "boolean"
 ///    },
 ///    "revision": {
@@ -1124,7 +1124,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "roster": {
-///      "description": "Index of the VM list that the sender follows.",
+///      "description": "Index of the VM list that the sender has.",
 ///      "type": "integer",
 ///      "format": "uint64",
 ///      "minimum": 0.0
@@ -1139,11 +1139,11 @@
 pub struct Gossip {
     pub beats: ::std::vec::Vec<Beat>,
     pub pools: ::std::vec::Vec<Summary>,
-    ///Whether the receiver should answer with its own.
+    ///Whether the receiver should respond with its own heartbeat.
     pub probe: bool,
     ///Configuration revision in force at the sender.
     pub revision: u64,
-    ///Index of the VM list that the sender follows.
+    ///Index of the VM list that the sender has.
     pub roster: u64,
 }
 impl ::std::convert::From<&Gossip> for Gossip {
@@ -1190,13 +1190,13 @@
         value.clone()
     }
 }
-///Passes a pool from its owner to the next one.
+///Transfers the scheduling state of a pool from its owner to the next one.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Passes a pool from its owner to the next one.",
+///  "description": "Transfers the scheduling state of a pool from its owner to the next one.",
 ///  "type": "object",
 ///  "required": [
 ///    "pool",
@@ -1291,13 +1291,13 @@
         value.clone()
     }
 }
-///Tells an owner all the slots of its pool that the sender uses.
+///Reports all slots of a pool that one entry node uses to the pool's owner.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Tells an owner all the slots of its pool that the sender uses.",
+///  "description": "Reports all slots of a pool that one entry node uses to the pool's owner.",
 ///  "type": "object",
 ///  "required": [
 ///    "held",
@@ -1340,13 +1340,13 @@
         value.clone()
     }
 }
-///One VM of the system, as the platform's VM list names it.
+///One VM of the system, as listed by the platform.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "One VM of the system, as the platform's VM list names it.",
+///  "description": "One VM of the system, as listed by the platform.",
 ///  "type": "object",
 ///  "required": [
 ///    "callers",
@@ -1357,7 +1357,7 @@
 ///  ],
 ///  "properties": {
 ///    "callers": {
-///      "description": "IP address and TCP port.",
+///      "description": "IP address and TCP port for callers.",
 ///      "type": "string"
 ///    },
 ///    "leaving": {
@@ -1369,7 +1369,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "peers": {
-///      "description": "IP address and UDP port.",
+///      "description": "IP address and UDP port for messages from peers.",
 ///      "type": "string"
 ///    },
 ///    "place": {
@@ -1383,11 +1383,11 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    ///IP address and TCP port.
+    ///IP address and TCP port for callers.
     pub callers: ::std::string::String,
     pub leaving: bool,
     pub node: u32,
-    ///IP address and UDP port.
+    ///IP address and UDP port for messages from peers.
     pub peers: ::std::string::String,
     pub place: ::std::string::String,
 }
@@ -1508,13 +1508,13 @@
         value.parse()
     }
 }
-///One key of the configuration; an empty value removes it.
+///One entry of the configuration; an empty value removes it.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "One key of the configuration; an empty value removes it.",
+///  "description": "One entry of the configuration; an empty value removes it.",
 ///  "type": "object",
 ///  "required": [
 ///    "key",
@@ -1531,7 +1531,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "value": {
-///      "description": "JSON text.",
+///      "description": "JSON text; empty if the entry is removed.",
 ///      "type": "string"
 ///    }
 ///  },
@@ -1544,7 +1544,7 @@
 pub struct Part {
     pub key: ::std::string::String,
     pub revision: u64,
-    ///JSON text.
+    ///JSON text; empty if the entry is removed.
     pub value: ::std::string::String,
 }
 impl ::std::convert::From<&Part> for Part {
@@ -1552,13 +1552,13 @@
         value.clone()
     }
 }
-///How far the reserved call has come.
+///Progress of the request that holds a reservation.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "How far the reserved call has come.",
+///  "description": "Progress of the request that holds a reservation.",
 ///  "type": "string",
 ///  "enum": [
 ///    "running",
@@ -1644,13 +1644,13 @@
         value.parse()
     }
 }
-///Takes a slot back from a bulk attempt.
+///Preempts a bulk attempt to reclaim its slot.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Takes a slot back from a bulk attempt.",
+///  "description": "Preempts a bulk attempt to reclaim its slot.",
 ///  "type": "object",
 ///  "required": [
 ///    "attempt"
@@ -1676,13 +1676,13 @@
         value.clone()
     }
 }
-///Tells the entry node that its request waits at the owner.
+///Informs the entry node that its request is in the owner's queue.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Tells the entry node that its request waits at the owner.",
+///  "description": "Informs the entry node that its request is in the owner's queue.",
 ///  "type": "object",
 ///  "required": [
 ///    "attempt"
@@ -1708,13 +1708,13 @@
         value.clone()
     }
 }
-///Why an owner refuses an attempt.
+///Why an owner rejects an attempt.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Why an owner refuses an attempt.",
+///  "description": "Why an owner rejects an attempt.",
 ///  "type": "string",
 ///  "enum": [
 ///    "overload",
@@ -1800,13 +1800,13 @@
         value.parse()
     }
 }
-///Tells a witness how the reserved call ended.
+///Reports the outcome of a request that holds a reservation to a witness.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Tells a witness how the reserved call ended.",
+///  "description": "Reports the outcome of a request that holds a reservation to a witness.",
 ///  "type": "object",
 ///  "required": [
 ///    "entry"
@@ -1830,13 +1830,13 @@
         value.clone()
     }
 }
-///An endpoint died while it ran this request.
+///Reports that an endpoint crashed while it ran a request.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "An endpoint died while it ran this request.",
+///  "description": "Reports that an endpoint crashed while it ran a request.",
 ///  "type": "object",
 ///  "required": [
 ///    "cleared",
@@ -1845,7 +1845,7 @@
 ///  ],
 ///  "properties": {
 ///    "cleared": {
-///      "description": "Whether the request has since run to its end, which clears it.",
+///      "description": "Whether the request has since completed, which clears it of the crash.",
 ///      "type": "boolean"
 ///    },
 ///    "endpoint": {
@@ -1866,7 +1866,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Strike {
-    ///Whether the request has since run to its end, which clears it.
+    ///Whether the request has since completed, which clears it of the crash.
     pub cleared: bool,
     pub endpoint: u32,
     pub fingerprint: u64,
@@ -1876,13 +1876,13 @@
         value.clone()
     }
 }
-///State of one pool as its owner sees it.
+///State of one pool, as reported by its owner.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "State of one pool as its owner sees it.",
+///  "description": "State of one pool, as reported by its owner.",
 ///  "type": "object",
 ///  "required": [
 ///    "free",
@@ -1893,7 +1893,7 @@
 ///  ],
 ///  "properties": {
 ///    "free": {
-///      "description": "Slots that interactive work could get now.",
+///      "description": "Number of slots that are available to interactive requests.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -1904,19 +1904,19 @@
 ///      "minimum": 0.0
 ///    },
 ///    "queued": {
-///      "description": "Interactive requests that wait.",
+///      "description": "Number of queued interactive requests.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "stamp": {
-///      "description": "Heartbeat counter of the owner when it took the summary.",
+///      "description": "Heartbeat counter of the owner at the time of the summary.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "wait_ms": {
-///      "description": "Expected wait of one more interactive request in milliseconds.",
+///      "description": "Expected queue time of one more interactive request in milliseconds.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -1929,14 +1929,14 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Summary {
-    ///Slots that interactive work could get now.
+    ///Number of slots that are available to interactive requests.
     pub free: u32,
     pub pool: u64,
-    ///Interactive requests that wait.
+    ///Number of queued interactive requests.
     pub queued: u32,
-    ///Heartbeat counter of the owner when it took the summary.
+    ///Heartbeat counter of the owner at the time of the summary.
     pub stamp: u32,
-    ///Expected wait of one more interactive request in milliseconds.
+    ///Expected queue time of one more interactive request in milliseconds.
     pub wait_ms: u32,
 }
 impl ::std::convert::From<&Summary> for Summary {
@@ -1944,13 +1944,13 @@
         value.clone()
     }
 }
-///Asks a peer for the reservations that the sender must know.
+///Requests from a peer the reservations that the sender must know.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "Asks a peer for the reservations that the sender must know.",
+///  "description": "Requests from a peer the reservations that the sender must know.",
 ///  "type": "object",
 ///  "required": [
 ///    "after",
@@ -1958,7 +1958,7 @@
 ///  ],
 ///  "properties": {
 ///    "after": {
-///      "description": "Last key received; empty at the start.",
+///      "description": "Last key received; empty for the first page.",
 ///      "type": "string"
 ///    },
 ///    "roster": {
@@ -1974,7 +1974,7 @@
 #[derive(::serde::Deserialize, ::serde::Serialize, Clone, Debug, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Sync {
-    ///Last key received; empty at the start.
+    ///Last key received; empty for the first page.
     pub after: ::std::string::String,
     pub roster: u64,
 }
@@ -1983,13 +1983,13 @@
         value.clone()
     }
 }
-///How much an owner trusts an endpoint with.
+///Warm-up state of an endpoint, as known to the owner.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "How much an owner trusts an endpoint with.",
+///  "description": "Warm-up state of an endpoint, as known to the owner.",
 ///  "type": "object",
 ///  "required": [
 ///    "endpoint",
@@ -2003,7 +2003,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "finished": {
-///      "description": "Requests finished since it turned cold.",
+///      "description": "Number of requests finished since the endpoint became cold.",
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
@@ -2020,7 +2020,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Trust {
     pub endpoint: u32,
-    ///Requests finished since it turned cold.
+    ///Number of requests finished since the endpoint became cold.
     pub finished: u32,
     pub warm: bool,
 }
@@ -2029,13 +2029,13 @@
         value.clone()
     }
 }
-///A witness's answer to a claim.
+///Response of a witness to a claim.
 ///
 /// <details><summary>JSON schema</summary>
 ///
 /// ```json
 ///{
-///  "description": "A witness's answer to a claim.",
+///  "description": "Response of a witness to a claim.",
 ///  "type": "object",
 ///  "required": [
 ///    "answer",
--- a/crates/peridotdeck-wire/src/lib.rs
+++ b/crates/peridotdeck-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages between entry routers and their datagram encoding.
+//! Messages between entry routers, and their encoding in datagrams.
 //!
-//! The message types are generated from `schema/wire.json`; this crate adds only the encoding
-//! (postcard) and the limits that a receiver checks before it believes a datagram. Messages that
-//! do not fit a datagram travel as a JSON-RPC call instead, with the same types.
+//! The message types are generated from `schema/wire.json` and `schema/beat.json`. This crate adds
+//! only the encoding (postcard) and the checks that a receiver applies before it decodes a
+//! datagram. Messages that do not fit a datagram are sent as JSON-RPC requests with the same types.
 //! See `docs/ARCHITECTURE.md`, section "Between routers".
 
 #[rustfmt::skip]
