--- a/crates/peridotdeck-core/benches/decision.rs
+++ b/crates/peridotdeck-core/benches/decision.rs
@@ -4,7 +4,7 @@
 
 use criterion::Criterion;
 use peridotdeck_core::{
-    Strategy, engine, flight::candidates, member::View, pool::Scheduler, request::Call,
+    Strategy, engine, flight::rank_candidates, membership::View, pool::Scheduler, request::Call,
 };
 use peridotdeck_policy::{Class, Organisation, Policy, Service, Snapshot};
 use peridotdeck_wire::{Ask, Beat, Done, Member, Outcome};
@@ -36,14 +36,14 @@
         callers: String::new(),
         leaving: false,
     };
-    view.follow(1, (1..=NODES).map(member).collect());
+    view.adopt_vm_list(1, (1..=NODES).map(member).collect());
     let beat = |node| Beat {
         node,
         incarnation: 1,
         counter: 1,
         leaving: false,
     };
-    view.hear(&(2..=NODES).map(beat).collect::<Vec<_>>(), NOW);
+    view.receive_heartbeats(&(2..=NODES).map(beat).collect::<Vec<_>>(), NOW);
     view.refresh(NOW);
     view
 }
@@ -53,11 +53,11 @@
         organisation: "matrah".to_owned(),
         service: "wickmind".to_owned(),
         class: "counter".to_owned(),
-        prompt: 100,
+        prompt_tokens: 100,
         max_tokens: 0,
         prefix: 0,
         fingerprint: 1,
-        repeatable: true,
+        idempotent: true,
         resumable: true,
         claim: None,
     }
@@ -82,7 +82,7 @@
 fn choose_pool(criterion: &mut Criterion) {
     let (snapshot, view, call) = (snapshot(), view(), call());
     criterion.bench_function("choose_pool_145_engines", |bencher| {
-        bencher.iter(|| candidates(black_box(&call), Duration::ZERO, &view, &snapshot, NOW));
+        bencher.iter(|| rank_candidates(black_box(&call), Duration::ZERO, &view, &snapshot, NOW));
     });
 }
 
@@ -104,10 +104,10 @@
             queued: 0,
             warm: true,
         };
-        scheduler.report(endpoint, report, NOW, &mut out);
+        scheduler.handle_report(endpoint, report, NOW, &mut out);
     }
     for attempt in 0..pool.endpoints.len() as u64 * 4 {
-        scheduler.ask(1, ask(attempt, id), NOW, &mut out);
+        scheduler.handle_ask(1, ask(attempt, id), NOW, &mut out);
     }
     (scheduler, id)
 }
@@ -120,7 +120,7 @@
         bencher.iter(|| {
             attempt += 1;
             let mut out = Vec::new();
-            scheduler.ask(1, ask(attempt, pool), NOW, &mut out);
+            scheduler.handle_ask(1, ask(attempt, pool), NOW, &mut out);
             let done = Done {
                 attempt,
                 pool,
@@ -130,7 +130,7 @@
                 first_ms: 30,
                 gap_us: 0,
             };
-            scheduler.done(&done, NOW, &mut out);
+            scheduler.handle_done(&done, NOW, &mut out);
             black_box(out)
         });
     });
--- a/crates/peridotdeck-core/src/dispatch/dispatcher.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher.rs
@@ -1,14 +1,20 @@
-//! All decisions of a node that places its own callers' requests.
+//! The dispatcher: state and decisions of a node that places its own callers' requests.
 //!
-//! The state is here, with what the publisher says; what is done with it stands in modules by its
-//! cause: a request (`placing`), the end of an attempt (`ends`), pauses of streams (`pauses`), a peer
-//! (`peers`) or time (`upkeep`); who waits is decided in `waiting`.
+//! This module holds the state and applies the publisher's reports. The submodules hold the
+//! decisions, grouped by their trigger:
+//!
+//! - `placing`: a request is admitted or placed;
+//! - `waiting`: a request waits or is refused, and its caller may return later;
+//! - `outcomes`: an attempt ends;
+//! - `pauses`: a stream pauses between events;
+//! - `peers`: a heartbeat from a peer arrives, or one to a peer is composed;
+//! - `maintenance`: time passes, or the result of a probe or of a cache query arrives.
 
-mod ends;
+mod maintenance;
+mod outcomes;
 mod pauses;
 mod peers;
 mod placing;
-mod upkeep;
 mod waiting;
 
 use std::time::Duration;
@@ -16,68 +22,69 @@
 use rand::{SeedableRng, rngs::SmallRng};
 
 use super::{
-    Key, Node, Place,
+    DataCentre, Key, Node,
     budget::{Bound, Budget},
-    due::{Errand, Inquiry},
+    crashes::List,
+    data_centre,
+    due::{CacheQuery, SnapshotRequest},
     endpoint::State,
     fleet::Fleet,
-    mean, place,
+    mean,
     prefix::Index,
     registry::{self, Change, Registry, Report},
-    strikes::List,
 };
 use crate::id::{Fingerprint, Time};
 
-/// Expected time of a plain service's answer before any was seen, in milliseconds.
-const PLAIN_MS: f64 = 40.0;
+/// Expected time of a plain service's answer before the first sample, in milliseconds.
+const INITIAL_PLAIN_ANSWER_MS: f64 = 40.0;
 
-/// Expected time of a whole stream before any was seen, in milliseconds.
-const WHOLE_MS: f64 = 2_000.0;
+/// Expected time of a complete answer before the first sample, in milliseconds.
+const INITIAL_WHOLE_ANSWER_MS: f64 = 2_000.0;
 
-/// Nodes of a data centre that watch the publisher: one may fail, or be turned away.
-const WATCHERS: usize = 2;
+/// Nodes of a data centre that watch the publisher, so that one may fail or be refused.
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Key by which they are ranked.
-const WATCH_KEY: Key = 0x7761_7463;
+/// Key that ranks the nodes of a data centre, to choose those that watch the publisher.
+const WATCHER_RANKING_KEY: Key = 0x7761_7463;
 
-/// Fixed facts of a node.
+/// Fixed options of a node.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Address by which peers know this node.
+    /// Address that identifies this node to its peers.
     pub node: Node,
-    /// Its data centre.
-    pub place: String,
-    /// All data centres with their regions, sorted.
+    /// Data centre of this node.
+    pub data_centre: String,
+    /// All data centres with their regions, sorted by data centre.
     pub regions: Vec<(String, String)>,
-    /// Nodes to begin with.
+    /// Nodes through which this node finds its peers.
     pub seeds: Vec<Node>,
-    /// Bound on repeats.
-    pub repeats: Bound,
-    /// Random number of the process.
+    /// Bound on the retries of each service over all nodes.
+    pub retry_bound: Bound,
+    /// Random number that distinguishes this process from earlier ones at the same address.
     pub incarnation: u64,
-    /// Time after its last use in which reading a part of a prompt again is paid for.
-    pub reuse: Duration,
-    /// Whether endpoints may hold prompts from before this process: it is no first start.
-    pub inherits: bool,
+    /// Time after the last use of a prompt part in which a repeated prefill of it is charged.
+    pub reuse_window: Duration,
+    /// Whether the node has run before, so that endpoints may already hold cached prompts.
+    pub is_restart: bool,
 }
 
-/// A peer that knows a newer revision.
+/// A peer's announcement of a newer revision.
 #[derive(Clone, Copy, Debug)]
-struct Ahead {
-    errand: Errand,
+struct NewerRevision {
+    request: SnapshotRequest,
     revision: u64,
-    near: bool,
+    is_local: bool,
 }
 
-/// A suspicion that a request crashed an endpoint.
+/// A request that may have crashed an endpoint, because its attempt broke.
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     key: Key,
     fingerprint: Fingerprint,
-    at: Time,
+    broken_at: Time,
 }
 
-/// All state and all decisions of a node.
+/// State of a node that places its own callers' requests.
 #[derive(Debug)]
 pub struct Dispatcher {
     options: Options,
@@ -87,28 +94,28 @@
     prefixes: Index,
     fleet: Fleet,
     budget: Budget,
-    strikes: List,
+    crashes: List,
     suspects: Vec<Suspect>,
-    plain: mean::Table,
-    whole: mean::Table,
-    failing: mean::Table,
-    pauses: mean::Table,
-    ahead: Vec<(Ahead, Time)>,
+    plain_answer_ms: mean::Table,
+    whole_answer_ms: mean::Table,
+    failure_rate: mean::Table,
+    pause_ms: mean::Table,
+    newer_revisions: Vec<(NewerRevision, Time)>,
     clean_up_due: Time,
-    inquiries: Vec<Inquiry>,
+    cache_queries: Vec<CacheQuery>,
     rng: SmallRng,
 }
 
 impl Dispatcher {
-    /// Starts a node that knows nothing but its options.
+    /// Creates the state of a node that has only its options.
     #[must_use]
     pub fn new(options: Options, now: Time) -> Self {
-        let region = region(&options.regions, &options.place);
-        let here = place(&options.place);
+        let region = region(&options.regions, &options.data_centre);
+        let here = data_centre(&options.data_centre);
         let fleet = Fleet::new(
             options.node,
             here,
-            siblings(&options.regions, &options.place),
+            siblings(&options.regions, &options.data_centre),
             options.incarnation,
             &options.seeds,
             now,
@@ -119,107 +126,111 @@
             states: Vec::new(),
             prefixes: Index::default(),
             fleet,
-            budget: Budget::new(options.repeats),
-            strikes: List::default(),
+            budget: Budget::new(options.retry_bound),
+            crashes: List::default(),
             suspects: Vec::new(),
-            plain: mean::Table::new(PLAIN_MS),
-            whole: mean::Table::new(WHOLE_MS),
-            failing: mean::Table::new(0.0),
-            pauses: mean::Table::new(0.0),
-            ahead: Vec::new(),
+            plain_answer_ms: mean::Table::new(INITIAL_PLAIN_ANSWER_MS),
+            whole_answer_ms: mean::Table::new(INITIAL_WHOLE_ANSWER_MS),
+            failure_rate: mean::Table::new(0.0),
+            pause_ms: mean::Table::new(0.0),
+            newer_revisions: Vec::new(),
             clean_up_due: now,
-            inquiries: Vec::new(),
+            cache_queries: Vec::new(),
             rng: SmallRng::seed_from_u64(options.incarnation),
             options,
         }
     }
 
-    /// Returns what is in force.
+    /// Returns the registry with the current configuration and endpoints.
     #[must_use]
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Returns the node's view of its peers.
+    /// Returns this node's view of its peers.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Returns the endpoints, sorted by key.
+    /// Returns the states of all endpoints, sorted by key.
     #[must_use]
     pub fn states(&self) -> &[State] {
         &self.states
     }
 
-    /// Returns the number of prompt prefixes whose place is known.
+    /// Returns the number of entries in the index of cached prompt prefixes.
     #[must_use]
-    pub fn prefixes(&self) -> usize {
+    pub fn prefix_count(&self) -> usize {
         self.prefixes.len()
     }
 
-    /// Returns whether requests can be served: the configuration is known and the node stays.
+    /// Returns whether the node has a configuration and is not leaving, so it can serve requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.registry.config().is_some() && !self.fleet.is_leaving()
     }
 
-    /// Returns whether this node should watch the publisher itself, or learns from peers that do.
+    /// Returns whether this node watches the publisher itself, instead of fetching from peers.
     #[must_use]
     pub fn is_watcher(&self, now: Time) -> bool {
-        self.registry.config().is_none() || self.fleet.is_among_first(WATCHERS, WATCH_KEY, now)
+        self.registry.config().is_none()
+            || self
+                .fleet
+                .is_among_first(WATCHERS_PER_DATA_CENTRE, WATCHER_RANKING_KEY, now)
     }
 
-    /// Starts to leave.
+    /// Starts to leave the fleet.
     pub fn leave(&mut self) {
         self.fleet.leave();
     }
 
-    /// Follows a change of the seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: &[Node], now: Time) {
         self.fleet.set_seeds(seeds, now);
     }
 
-    /// Notes that the publisher cannot be read.
-    pub fn note_trouble(&mut self, now: Time) {
+    /// Records that the publisher could not be read.
+    pub fn note_publisher_failure(&mut self, now: Time) {
         self.registry.note_publisher_failure(now);
     }
 
-    /// Takes in what the publisher reports.
-    pub fn publish(&mut self, report: Report, now: Time) -> Change {
+    /// Applies a report of the publisher and returns what it changed.
+    pub fn apply_report(&mut self, report: Report, now: Time) -> Change {
         let change = self.registry.apply(report, now);
-        self.follow(&change, now);
+        self.apply_change(&change, now);
         change
     }
 
-    /// Takes in what a peer handed over.
+    /// Adopts a snapshot that a peer sent and returns what it changed.
     pub fn adopt(&mut self, snapshot: registry::Snapshot, now: Time) -> Change {
         let change = self.registry.adopt(snapshot, now);
-        self.follow(&change, now);
+        self.apply_change(&change, now);
         change
     }
 
-    fn follow(&mut self, change: &Change, now: Time) {
+    /// Updates the endpoint states after a change of the registry.
+    fn apply_change(&mut self, change: &Change, now: Time) {
         if *change != Change::default() {
             self.fleet.mark_changed();
         }
-        let first = self.states.is_empty() && self.options.inherits;
+        let query_caches = self.states.is_empty() && self.options.is_restart;
         for endpoint in &change.removed {
             self.remove(endpoint);
         }
         for endpoint in &change.updated {
             let key = endpoint.key();
             match self.find(key) {
-                Ok(at) => self.states[at].update(endpoint.clone(), now),
-                Err(at) => {
+                Ok(index) => self.states[index].update(endpoint.clone(), now),
+                Err(index) => {
                     let region = region(&self.options.regions, &endpoint.data_centre);
                     let mut state = State::new(endpoint.clone(), region, now);
                     state.peer_load = self.fleet.load_at(key);
-                    if first {
+                    if query_caches {
                         let address = endpoint.address;
-                        self.inquiries.push(Inquiry { key, address });
+                        self.cache_queries.push(CacheQuery { key, address });
                     }
-                    self.states.insert(at, state);
+                    self.states.insert(index, state);
                 }
             }
         }
@@ -227,37 +238,38 @@
 
     fn remove(&mut self, endpoint: &registry::Endpoint) {
         let key = endpoint.key();
-        if let Ok(at) = self.find(key) {
-            self.states.remove(at);
+        if let Ok(index) = self.find(key) {
+            self.states.remove(index);
         }
         self.prefixes.remove_endpoint(key);
     }
 
     fn find(&self, key: Key) -> Result<usize, usize> {
-        self.states.binary_search_by_key(&key, |each| each.key)
+        self.states.binary_search_by_key(&key, |state| state.key)
     }
 
     fn state(&self, key: Key) -> Option<&State> {
-        let at = self.find(key).ok()?;
-        Some(&self.states[at])
+        let index = self.find(key).ok()?;
+        Some(&self.states[index])
     }
 
     fn state_mut(&mut self, key: Key) -> Option<&mut State> {
-        let at = self.find(key).ok()?;
-        Some(&mut self.states[at])
+        let index = self.find(key).ok()?;
+        Some(&mut self.states[index])
     }
 }
 
-fn region(regions: &[(String, String)], place: &str) -> String {
-    let found = regions.iter().find(|(each, _)| each == place);
-    found.map_or_else(|| place.to_owned(), |(_, region)| region.clone())
+/// Returns the region of a data centre, or the data centre's own name if it is not listed.
+fn region(regions: &[(String, String)], data_centre: &str) -> String {
+    let found = regions.iter().find(|(name, _)| name == data_centre);
+    found.map_or_else(|| data_centre.to_owned(), |(_, region)| region.clone())
 }
 
-/// Returns the other data centres of a data centre's region.
-fn siblings(regions: &[(String, String)], here: &str) -> Vec<Place> {
+/// Returns the other data centres in the region of a data centre.
+fn siblings(regions: &[(String, String)], here: &str) -> Vec<DataCentre> {
     let home = region(regions, here);
     let others = regions
         .iter()
-        .filter(|(each, region)| each != here && *region == home);
-    others.map(|(each, _)| place(each)).collect()
+        .filter(|(name, region)| name != here && *region == home);
+    others.map(|(name, _)| data_centre(name)).collect()
 }
--- a/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
+++ b/crates/peridotdeck-core/src/dispatch/dispatcher/peers.rs
@@ -1,44 +1,48 @@
-//! What peers tell, and what they are told.
+//! Heartbeats from peers, and the status that this node sends to them.
 
 use std::time::Duration;
 
 use peridotdeck_wire::beat;
 
-use super::{Ahead, Dispatcher};
+use super::{Dispatcher, NewerRevision};
 use crate::{
     dispatch::{
-        Node,
-        due::Errand,
+        Node, data_centre,
+        due::SnapshotRequest,
         endpoint::Load,
         fleet::{Changes, Status},
-        place,
         registry::Area,
     },
     id::Time,
 };
 
-/// Time for which a peer may be ahead before a node that watches the publisher itself asks it.
-const BEHIND: Duration = Duration::from_millis(150);
+/// Time that a node which watches the publisher waits before it fetches a newer revision from
+/// a peer.
+const WATCHER_FETCH_DELAY: Duration = Duration::from_millis(150);
 
-/// The same for a peer in another data centre: one in the own will soon know as much.
-const FAR: Duration = Duration::from_millis(300);
+/// Shortest time that any node waits before it fetches a newer revision from another data
+/// centre, since a peer in its own will soon have the revision too.
+const REMOTE_FETCH_DELAY: Duration = Duration::from_millis(300);
 
-/// The same for a node that learns from peers.
-const FOLLOW: Duration = Duration::from_millis(20);
+/// Time that a node which does not watch the publisher waits before it fetches a newer
+/// revision from a peer.
+const FOLLOWER_FETCH_DELAY: Duration = Duration::from_millis(20);
 
 impl Dispatcher {
-    /// Takes in a peer's beat and returns the answer that it wants, if any, and whether it is new.
-    pub fn hear(&mut self, beat: &beat::Beat, now: Time) -> (Option<beat::Beat>, bool) {
-        let heard = self.fleet.receive(beat, now);
-        self.follow_loads(&heard);
-        let near = beat.place == place(&self.options.place);
+    /// Handles a peer's heartbeat.
+    ///
+    /// Returns the reply that the peer requests, if any, and whether the peer is new.
+    pub fn receive(&mut self, beat: &beat::Beat, now: Time) -> (Option<beat::Beat>, bool) {
+        let changes = self.fleet.receive(beat, now);
+        self.apply_peer_loads(&changes);
+        let is_local = beat.place == data_centre(&self.options.data_centre);
         for holding in &beat.holdings {
             if self.find(holding.endpoint).is_err() {
                 continue;
             }
             let (prefix, endpoint) = (holding.prefix, holding.endpoint);
             self.prefixes.record_use(prefix, endpoint, now);
-            if !near && self.prefixes.mark_announced_if_due(prefix, endpoint, now) {
+            if !is_local && self.prefixes.mark_announced_if_due(prefix, endpoint, now) {
                 self.fleet.announce_prefix(prefix, endpoint, false, now);
             }
         }
@@ -49,33 +53,36 @@
             }
         }
         for strike in &beat.strikes {
-            self.strikes.add(strike.fingerprint, strike.endpoint, now);
+            self.crashes
+                .record(strike.fingerprint, strike.endpoint, now);
         }
-        self.note_ahead(beat, now);
+        self.note_newer_revisions(beat, now);
         let node = Node::from(beat.node);
-        let answer = heard.reply_requested.then(|| {
+        let answer = changes.reply_requested.then(|| {
             let status = self.status(now);
             self.fleet.reply(node, &status, now)
         });
-        (answer, heard.joined)
+        (answer, changes.joined)
     }
 
-    pub(super) fn follow_loads(&mut self, heard: &Changes) {
-        for (key, load) in &heard.removed {
+    /// Applies changes of the load that peers have at endpoints.
+    pub(super) fn apply_peer_loads(&mut self, changes: &Changes) {
+        for (key, load) in &changes.removed {
             if let Some(state) = self.state_mut(*key) {
                 state.peer_load.subtract(*load);
             }
         }
-        for (key, load) in &heard.added {
+        for (key, load) in &changes.added {
             if let Some(state) = self.state_mut(*key) {
                 state.peer_load.add(*load);
             }
         }
     }
 
-    fn note_ahead(&mut self, beat: &beat::Beat, now: Time) {
+    /// Records which areas a peer has in a newer revision, and confirms those that are equal.
+    fn note_newer_revisions(&mut self, beat: &beat::Beat, now: Time) {
         let node = Node::from(beat.node);
-        let near = beat.place == place(&self.options.place);
+        let is_local = beat.place == data_centre(&self.options.data_centre);
         for (area, revision) in [(Area::Policy, beat.policy), (Area::Roster, beat.roster)] {
             let known = self.registry.revision(area).changed;
             if revision == known {
@@ -84,30 +91,31 @@
             if revision <= known {
                 continue;
             }
-            let errand = Errand { node, area, known };
-            let ahead = Ahead {
-                errand,
+            let request = SnapshotRequest { node, area, known };
+            let announced = NewerRevision {
+                request,
                 revision,
-                near,
+                is_local,
             };
             match self
-                .ahead
+                .newer_revisions
                 .iter_mut()
-                .find(|(each, _)| each.errand.area == area)
+                .find(|(newer, _)| newer.request.area == area)
             {
-                // The way to a node of the own data centre is shorter, and not paid for.
-                Some((each, _)) if near && !each.near => *each = ahead,
+                // Traffic within a data centre has a shorter path and is not charged.
+                Some((newer, _)) if is_local && !newer.is_local => *newer = announced,
                 Some(_) => {}
-                None => self.ahead.push((ahead, now)),
+                None => self.newer_revisions.push((announced, now)),
             }
         }
     }
 
+    /// Returns the status that this node sends in its heartbeats.
     pub(super) fn status(&self, now: Time) -> Status {
-        /// Endpoints whose health is told: those that failed most.
-        const MOST_HEALTH: usize = 8;
-        /// Strikes that are told.
-        const MOST_STRIKES: usize = 8;
+        /// Number of endpoints whose health is sent: those with the most failures.
+        const MAX_HEALTH_ENTRIES: usize = 8;
+        /// Number of crashes that are sent.
+        const MAX_CRASHES: usize = 8;
         let busy = self
             .states
             .iter()
@@ -124,35 +132,45 @@
                 bad: eighths(bad),
             })
             .collect();
-        health.sort_unstable_by_key(|each| std::cmp::Reverse(each.bad));
-        health.truncate(MOST_HEALTH);
-        let strikes = self.strikes.news(now).take(MOST_STRIKES);
+        health.sort_unstable_by_key(|health| std::cmp::Reverse(health.bad));
+        health.truncate(MAX_HEALTH_ENTRIES);
+        let crashes = self.crashes.recent(now).take(MAX_CRASHES);
         Status {
             policy: self.registry.revision(Area::Policy).changed,
             roster: self.registry.revision(Area::Roster).changed,
             loads: busy.map(|state| (state.key, state.own_load)).collect(),
             health,
-            strikes: strikes
-                .map(|strike| beat::Strike {
-                    endpoint: strike.endpoint,
-                    fingerprint: strike.fingerprint,
+            strikes: crashes
+                .map(|crash| beat::Strike {
+                    endpoint: crash.endpoint,
+                    fingerprint: crash.fingerprint,
                 })
                 .collect(),
         }
     }
 
-    /// What peers know better for a while: this node's own way to the publisher may be cut.
-    pub(super) fn errands(&mut self, now: Time) -> Vec<Errand> {
-        let own = if self.is_watcher(now) { BEHIND } else { FOLLOW };
-        let late = |(ahead, since): &mut (Ahead, Time)| {
-            let patience = if ahead.near { own } else { own.max(FAR) };
-            now.saturating_sub(*since) >= patience
+    /// Returns the requests for revisions that peers have had for a while and this node lacks.
+    ///
+    /// This node's own connection to the publisher may be cut.
+    pub(super) fn snapshot_requests(&mut self, now: Time) -> Vec<SnapshotRequest> {
+        let base_delay = if self.is_watcher(now) {
+            WATCHER_FETCH_DELAY
+        } else {
+            FOLLOWER_FETCH_DELAY
         };
-        let due: Vec<(Ahead, Time)> = self.ahead.extract_if(.., late).collect();
-        let errands = due.into_iter().map(|(ahead, _)| ahead);
-        errands
-            .filter(|ahead| ahead.revision > self.registry.revision(ahead.errand.area).changed)
-            .map(|ahead| ahead.errand)
+        let is_due = |(newer, since): &mut (NewerRevision, Time)| {
+            let delay = if newer.is_local {
+                base_delay
+            } else {
+                base_delay.max(REMOTE_FETCH_DELAY)
+            };
+            now.saturating_sub(*since) >= delay
+        };
+        let due: Vec<(NewerRevision, Time)> = self.newer_revisions.extract_if(.., is_due).collect();
+        let newer = due.into_iter().map(|(newer, _)| newer);
+        newer
+            .filter(|newer| newer.revision > self.registry.revision(newer.request.area).changed)
+            .map(|newer| newer.request)
             .collect()
     }
 }
--- a/crates/peridotdeck-core/src/dispatch/fleet/receive.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/receive.rs
@@ -6,7 +6,7 @@
 
 use super::{Changes, Fleet, Remote};
 use crate::{
-    dispatch::{Key, Node, Place, endpoint::Load},
+    dispatch::{DataCentre, Key, Node, endpoint::Load},
     id::Time,
 };
 
@@ -63,7 +63,7 @@
     }
 
     /// Returns the reported load of another data centre and marks it as received now.
-    fn remote_mut(&mut self, data_centre: Place, now: Time) -> &mut Remote {
+    fn remote_mut(&mut self, data_centre: DataCentre, now: Time) -> &mut Remote {
         let index = self
             .remotes
             .iter()
--- a/crates/peridotdeck-core/src/dispatch/fleet/send.rs
+++ b/crates/peridotdeck-core/src/dispatch/fleet/send.rs
@@ -6,7 +6,7 @@
 
 use super::{Announcement, Fleet, LOCAL_ANNOUNCE, STARTUP, Status};
 use crate::{
-    dispatch::{Key, Node, Place},
+    dispatch::{DataCentre, Key, Node},
     id::Time,
 };
 
@@ -100,7 +100,7 @@
         self.remote_due = now + round_time(here.len()) / self.rounds() as u32;
         self.round += 1;
         let own_index = here.binary_search(&self.me).unwrap_or(0);
-        let mut data_centres: Vec<Place> = self
+        let mut data_centres: Vec<DataCentre> = self
             .remotes
             .iter()
             .map(|remote| remote.data_centre)
@@ -135,7 +135,7 @@
     }
 
     /// Returns how many rounds a data centre has had, or nothing if this round skips it.
-    fn turn(&self, data_centre: Place) -> Option<usize> {
+    fn turn(&self, data_centre: DataCentre) -> Option<usize> {
         if self.siblings.contains(&data_centre) {
             return Some(self.round);
         }
--- a/crates/peridotdeck-http/src/client.rs
+++ b/crates/peridotdeck-http/src/client.rs
@@ -1,8 +1,8 @@
 //! Sends one HTTP request on a new connection.
 //!
-//! Connections are not reused. A firewall or proxy may silently have dropped an idle connection,
-//! and a request that must not be repeated would then fail on it with an unknown outcome. Within a
-//! data centre a new connection costs one round trip of about a millisecond.
+//! Connections are not reused. A device on the path may have dropped an idle connection without
+//! notice; a request that must not be repeated would then fail on it with an unknown outcome.
+//! Within a data centre a new connection costs one round trip of about a millisecond.
 
 use std::{io, net::SocketAddr, time::Duration};
 
--- a/crates/peridotdeck-load/src/stage.rs
+++ b/crates/peridotdeck-load/src/stage.rs
@@ -143,7 +143,7 @@
         for _ in 0..rounds {
             if self.all_ready().await {
                 // Ownership settles after the first gossip; load that comes before would be denied.
-                task::sleep(peridotdeck_core::pool::SETTLE + LOOK).await;
+                task::sleep(peridotdeck_core::pool::SETTLE_PERIOD + LOOK).await;
                 return Ok(());
             }
             task::sleep(LOOK).await;
@@ -155,7 +155,7 @@
         let nodes = self.slots.len();
         for router in self.slots.iter().filter_map(|slot| slot.router.as_ref()) {
             let look = move |node: &peridotdeck_core::Node, _| {
-                node.is_ready() && node.ledger().is_ready() && node.view().live_count() == nodes
+                node.is_ready() && node.witness().is_ready() && node.view().live_count() == nodes
             };
             if router.handle().look(look).await != Some(true) {
                 return false;
