--- a/crates/peridotdeck-http/src/server.rs
+++ b/crates/peridotdeck-http/src/server.rs
@@ -1,4 +1,4 @@
-//! An accept loop with limits and a graceful stop.
+//! HTTP server with connection limits and a graceful stop.
 
 use std::{
     io,
@@ -19,39 +19,39 @@
 use futures_lite::future::or;
 use http_types::{Request, Response, Result};
 
-/// Status and message for a head that is not HTTP, too long, or has too many headers.
-const BAD_HEAD: (&str, &str) = ("400 Bad Request", "unreadable request head");
+/// Status and message for a request head that is not HTTP, is too long or has too many headers.
+const MALFORMED_HEAD: (&str, &str) = ("400 Bad Request", "unreadable request head");
 
-/// Status and message for a head that does not come in time.
+/// Status and message for a request head that does not arrive in time.
 const SLOW_HEAD: (&str, &str) = ("408 Request Timeout", "request head took too long");
 
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time for a request's head, counted from the previous response on the connection.
-    pub head: Duration,
-    /// Open connections; more are closed at once.
-    pub connections: usize,
+    /// Timeout for a request's head, counted from the previous response on the connection.
+    pub head_timeout: Duration,
+    /// Maximum number of open connections; further ones are closed at once.
+    pub max_connections: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head: Duration::from_secs(10),
-            connections: 8_192,
+            head_timeout: Duration::from_secs(10),
+            max_connections: 8_192,
         }
     }
 }
 
-/// The connection that a request came on, found among the request's extensions.
+/// Connection on which a request arrived; stored in the request's extensions.
 #[derive(Clone, Debug)]
 pub struct Connection(pub TcpStream);
 
 impl Connection {
-    /// Returns once the other end has closed the connection.
+    /// Waits until the peer has closed the connection.
     ///
-    /// Bytes that come meanwhile belong to a pipelined request; then closing is not noticed until
-    /// something is written.
+    /// Bytes that arrive meanwhile belong to a pipelined request. A close is then not detected
+    /// until the next write.
     pub async fn closed(&self) {
         let mut byte = [0];
         match self.0.peek(&mut byte).await {
@@ -61,34 +61,34 @@
     }
 }
 
-/// A running server; dropping it stops accepting.
+/// Running server; dropping it stops accepting connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    gate: Arc<Gate>,
+    state: Arc<AcceptState>,
     accept: Option<JoinHandle<()>>,
 }
 
 /// State shared by the accept loop and the connections.
 #[derive(Debug, Default)]
-pub struct Gate {
-    shut: AtomicBool,
+pub struct AcceptState {
+    rejecting: AtomicBool,
     open: AtomicUsize,
 }
 
-impl Gate {
-    /// Closes every new connection at once while shut, as a crashed process would.
-    pub fn set_shut(&self, shut: bool) {
-        self.shut.store(shut, Ordering::SeqCst);
+impl AcceptState {
+    /// Sets whether every new connection is closed at once, to simulate a crashed process.
+    pub fn set_rejecting(&self, rejecting: bool) {
+        self.rejecting.store(rejecting, Ordering::SeqCst);
     }
 
-    fn is_shut(&self) -> bool {
-        self.shut.load(Ordering::SeqCst)
+    fn is_rejecting(&self) -> bool {
+        self.rejecting.load(Ordering::SeqCst)
     }
 
-    /// Returns the open connections.
+    /// Returns the number of open connections.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 }
@@ -105,28 +105,28 @@
     {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let gate = Arc::new(Gate::default());
-        let accept = task::spawn(accept(listener, limits, Arc::clone(&gate), respond));
+        let state = Arc::new(AcceptState::default());
+        let accept = task::spawn(accept(listener, limits, Arc::clone(&state), respond));
         Ok(Self {
             address,
-            gate,
+            state,
             accept: Some(accept),
         })
     }
 
-    /// Returns the address, with the port that the system chose.
+    /// Returns the bound address, with the port that the system chose for port 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the gate, through which a stand-in plays dead.
+    /// Returns the accept state, with which a fake simulates a crash.
     #[must_use]
-    pub fn gate(&self) -> Arc<Gate> {
-        Arc::clone(&self.gate)
+    pub fn accept_state(&self) -> Arc<AcceptState> {
+        Arc::clone(&self.state)
     }
 
-    /// Stops accepting; open connections go on.
+    /// Stops accepting connections; open connections continue.
     pub async fn stop(mut self) {
         if let Some(accept) = self.accept.take() {
             accept.cancel().await;
@@ -142,29 +142,33 @@
     }
 }
 
-async fn accept<F, Fut>(listener: TcpListener, limits: Limits, gate: Arc<Gate>, respond: F)
+async fn accept<F, Fut>(listener: TcpListener, limits: Limits, state: Arc<AcceptState>, respond: F)
 where
     F: Fn(Request) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Result<Response>> + Send + 'static,
 {
-    /// Rest after a failed accept, which usually means that file descriptors ran out.
-    const REST: Duration = Duration::from_millis(50);
+    /// Delay after a failed accept, which usually means that file descriptors ran out.
+    const RETRY_DELAY: Duration = Duration::from_millis(50);
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if gate.is_shut() || gate.open() >= limits.connections => drop(stream),
+            Ok((stream, _))
+                if state.is_rejecting() || state.open_connections() >= limits.max_connections =>
+            {
+                drop(stream);
+            }
             Ok((stream, peer)) => {
-                gate.open.fetch_add(1, Ordering::SeqCst);
-                let (gate, respond) = (Arc::clone(&gate), respond.clone());
+                state.open.fetch_add(1, Ordering::SeqCst);
+                let (state, respond) = (Arc::clone(&state), respond.clone());
                 task::spawn(async move {
                     if let Err(cause) = handle(stream, limits, respond).await {
                         log::debug!("event=connection_ended peer={peer} cause=\"{cause}\"");
                     }
-                    gate.open.fetch_sub(1, Ordering::SeqCst);
+                    state.open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
             Err(cause) => {
                 log::warn!("event=accept_failed cause=\"{cause}\"");
-                task::sleep(REST).await;
+                task::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -172,8 +176,8 @@
 
 /// Answers the requests of one connection in turn.
 ///
-/// A head that does not come in time or cannot be read is answered here, because `async-h1` would
-/// close the connection without a word.
+/// A request head that does not arrive in time or cannot be parsed is answered here, because
+/// `async-h1` would close the connection without a response.
 async fn handle<F, Fut>(stream: TcpStream, limits: Limits, respond: F) -> Result<()>
 where
     F: Fn(Request) -> Fut,
@@ -191,7 +195,7 @@
     loop {
         begun.store(false, Ordering::SeqCst);
         let slow_head = async {
-            task::sleep(limits.head).await;
+            task::sleep(limits.head_timeout).await;
             if begun.load(Ordering::SeqCst) {
                 std::future::pending::<()>().await;
             }
@@ -202,7 +206,7 @@
             Some(Ok(ConnectionStatus::Close)) => return Ok(()),
             Some(Err(cause)) => {
                 if !begun.load(Ordering::SeqCst) {
-                    refuse(stream, BAD_HEAD).await;
+                    refuse(stream, MALFORMED_HEAD).await;
                 }
                 return Err(cause);
             }
@@ -214,7 +218,9 @@
     }
 }
 
-/// Writes an error in the callers' format and closes; the caller may be gone already.
+/// Writes an error in the callers' format and closes the connection.
+///
+/// Write errors are ignored, since the caller may already have closed it.
 async fn refuse(mut stream: TcpStream, (status, message): (&str, &str)) {
     let body = format!(
         r#"{{"error":{{"message":"{message}","type":"invalid_request","verdict":"not_run"}}}}"#
@@ -228,11 +234,14 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Runs `work` unless the caller of `connection` goes away first.
-pub async fn unless_closed<T>(connection: &Connection, work: impl Future<Output = T>) -> Option<T> {
-    let gone = async {
+/// Returns the result of `work`, or `None` if the caller closes the connection first.
+pub async fn run_until_closed<T>(
+    connection: &Connection,
+    work: impl Future<Output = T>,
+) -> Option<T> {
+    let closed = async {
         connection.closed().await;
         None
     };
-    or(async { Some(work.await) }, gone).await
+    or(async { Some(work.await) }, closed).await
 }
