--- a/crates/peridotdeck-router/src/callers.rs
+++ b/crates/peridotdeck-router/src/callers.rs
@@ -21,12 +21,12 @@
 
 use crate::{
     attempt::{Answer, Model, Plain},
-    carrier::{Carrier, Job},
     dial::Dial,
     fault::Fault,
     handle::Handle,
     metrics::Metrics,
     prompt::Prompt,
+    request_task::{Carrier, Job},
 };
 
 /// Header by which a caller chooses a class.
--- a/crates/peridotdeck-router/src/lib.rs
+++ b/crates/peridotdeck-router/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`driver`]: one task that owns the [`peridotdeck_core::Node`] and carries out its actions;
 //!   [`handle`]: the way to it;
-//! - [`callers`]: the HTTP interface for callers, and [`carrier`]: the task of one request;
+//! - [`callers`]: the HTTP interface for callers, and [`request_task`]: the task of one request;
 //! - [`attempt`]: one try at an endpoint, streamed or whole;
 //! - [`peers`]: datagrams and JSON-RPC between routers;
 //! - [`platform`]: watches of the configuration service and the VM list;
@@ -13,7 +13,6 @@
 
 pub mod attempt;
 pub mod callers;
-pub mod carrier;
 pub mod clock;
 pub mod dial;
 pub mod driver;
@@ -25,6 +24,7 @@
 pub mod peers;
 pub mod platform;
 pub mod prompt;
+pub mod request_task;
 pub mod router;
 
 pub use dial::{Dial, Direct};
