--- a/crates/peridotdeck-router/src/attempt/answer.rs
+++ b/crates/peridotdeck-router/src/attempt/answer.rs
@@ -8,7 +8,7 @@
 use peridotdeck_http::body::{self, Feed};
 use serde_json::{Value, json};
 
-use crate::{fault::Fault, metrics::Sample};
+use crate::{api_error::Fault, metrics::Sample};
 
 /// A whole answer that passes through unread.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/peridotdeck-router/src/callers.rs
+++ b/crates/peridotdeck-router/src/callers.rs
@@ -20,9 +20,9 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
 use crate::{
+    api_error::Fault,
     attempt::{Answer, Model, Plain},
     dial::Dial,
-    fault::Fault,
     handle::Handle,
     metrics::Metrics,
     prompt::Prompt,
--- a/crates/peridotdeck-router/src/lib.rs
+++ b/crates/peridotdeck-router/src/lib.rs
@@ -11,12 +11,12 @@
 //! [`Router::start`] runs them all in the calling process, which is how the binary, the tests and
 //! the load tool use the same code. See `docs/ARCHITECTURE.md`.
 
+pub mod api_error;
 pub mod attempt;
 pub mod callers;
 pub mod clock;
 pub mod dial;
 pub mod driver;
-pub mod fault;
 pub mod handle;
 pub mod metrics;
 pub mod operators;
--- a/crates/peridotdeck-router/src/prompt.rs
+++ b/crates/peridotdeck-router/src/prompt.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fault::Fault;
+use crate::api_error::Fault;
 
 /// Bytes of text that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
--- a/crates/peridotdeck-router/src/request_task.rs
+++ b/crates/peridotdeck-router/src/request_task.rs
@@ -13,9 +13,9 @@
 use peridotdeck_wire::Outcome;
 
 use crate::{
+    api_error::Fault,
     attempt::{Answer, Model, Plain, Target, Whole},
     dial::Dial,
-    fault::Fault,
     handle::{Handle, Order},
     metrics::Metrics,
 };
