--- a/crates/peridotdeck-router/src/attempt.rs
+++ b/crates/peridotdeck-router/src/attempt.rs
@@ -4,11 +4,11 @@
 //! a stream is whole only with its end marker. Silence counts as a dead connection.
 
 mod answer;
-mod model;
+mod completion;
 mod plain;
 
 pub use answer::{Answer, Gone, Whole};
-pub use model::Model;
+pub use completion::Model;
 pub use plain::Plain;
 
 use std::{
