--- a/crates/peridotdeck-load/src/caller.rs
+++ b/crates/peridotdeck-load/src/caller.rs
@@ -11,7 +11,7 @@
 use http_types::{Method, Request, Response, mime};
 use peridotdeck_fake::text;
 use peridotdeck_http::client;
-use peridotdeck_router::callers::CLASS;
+use peridotdeck_router::callers::CLASS_HEADER;
 use serde_json::{Value, json};
 
 use crate::{
@@ -134,7 +134,7 @@
         "authorization",
         format!("Bearer {}", stage::key(organisation)),
     );
-    request.insert_header(CLASS, load.class.as_str());
+    request.insert_header(CLASS_HEADER, load.class.as_str());
     if let Some(key) = &arrival.key {
         request.insert_header("idempotency-key", key.as_str());
     }
--- a/crates/peridotdeck-load/src/paths.rs
+++ b/crates/peridotdeck-load/src/paths.rs
@@ -114,7 +114,7 @@
         client::connect(address).await
     }
 
-    fn datagram(&self, place: &str) -> Option<Duration> {
+    fn datagram_delay(&self, place: &str) -> Option<Duration> {
         self.map.delay(&self.place, place)
     }
 
--- a/crates/peridotdeck-router/src/attempt/answer.rs
+++ b/crates/peridotdeck-router/src/attempt/answer.rs
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// [`Gone`] if the caller's connection is closed; the event does not count then.
-    pub async fn event(&mut self, data: &[u8], attempt: &str) -> Result<(), Gone> {
+    pub async fn push_event(&mut self, data: &[u8], attempt: &str) -> Result<(), Gone> {
         if self.streams {
             let mut chunk = Vec::with_capacity(data.len() + 8);
             chunk.extend_from_slice(b"data: ");
--- a/crates/peridotdeck-router/src/attempt/completion.rs
+++ b/crates/peridotdeck-router/src/attempt/completion.rs
@@ -123,7 +123,7 @@
                 }
                 Ok(Some(Ok(Event::Message(message)))) => {
                     first.get_or_insert_with(Instant::now);
-                    if answer.event(message.data(), &id).await.is_err() {
+                    if answer.push_event(message.data(), &id).await.is_err() {
                         return Outcome::Cancelled;
                     }
                 }
--- a/crates/peridotdeck-router/src/callers.rs
+++ b/crates/peridotdeck-router/src/callers.rs
@@ -30,7 +30,7 @@
 };
 
 /// Header by which a caller chooses a class.
-pub const CLASS: &str = "x-peridotdeck-class";
+pub const CLASS_HEADER: &str = "x-peridotdeck-class";
 
 /// Header with the key of a call that may not be repeated.
 const KEY: &str = "idempotency-key";
@@ -49,7 +49,7 @@
 
 /// What every handler needs.
 #[derive(Debug)]
-pub struct Desk<D> {
+pub struct Context<D> {
     /// The way to the core.
     pub handle: Handle,
     /// The way to endpoints.
@@ -61,10 +61,10 @@
 }
 
 /// Shared by all requests.
-pub type State<D> = Arc<Desk<D>>;
+pub type State<D> = Arc<Context<D>>;
 
 /// Adds the callers' routes.
-pub fn route<D: Dial>(app: &mut tide::Server<State<D>>) {
+pub fn add_routes<D: Dial>(app: &mut tide::Server<State<D>>) {
     app.at("/v1/models").get(models::<D>);
     app.at("/v1/chat/completions")
         .post(|request| complete::<D>(request, true));
@@ -106,8 +106,8 @@
     Ok(response)
 }
 
-fn snapshot<D>(desk: &Desk<D>) -> Result<Arc<Snapshot>, Fault> {
-    desk.handle.shared.snapshot().ok_or_else(|| Fault {
+fn snapshot<D>(context: &Context<D>) -> Result<Arc<Snapshot>, Fault> {
+    context.handle.shared.snapshot().ok_or_else(|| Fault {
         status: 503,
         kind: "server_error",
         retry_after: Some(Duration::from_secs(1)),
@@ -169,7 +169,7 @@
 }
 
 fn class_of<S>(request: &Request<S>, snapshot: &Snapshot, default: &str) -> Result<Class, Fault> {
-    let name = header(request, CLASS).unwrap_or_else(|| default.to_owned());
+    let name = header(request, CLASS_HEADER).unwrap_or_else(|| default.to_owned());
     let unknown = || {
         Fault::bad(
             400,
@@ -345,9 +345,13 @@
     streams: bool,
     chat: bool,
 ) -> Result<Response, Fault> {
-    let desk = request.state();
+    let context = request.state();
     let stopped = || Fault::bad(503, "leaving", "this node has stopped; try again");
-    let (id, orders) = desk.handle.arrive(call.clone()).await.ok_or_else(stopped)?;
+    let (id, orders) = context
+        .handle
+        .arrive(call.clone())
+        .await
+        .ok_or_else(stopped)?;
     let (head, response) = async_channel::bounded(1);
     let carrier = Carrier {
         request: id,
@@ -357,10 +361,10 @@
         answer: Answer::new(id, head, streams, chat),
         orders,
         connection: request.ext::<Connection>().cloned(),
-        silence: Duration::from_millis(desk.settings.silence_ms.into()),
-        handle: desk.handle.clone(),
-        dial: desk.dial.clone(),
-        metrics: Arc::clone(&desk.metrics),
+        silence: Duration::from_millis(context.settings.silence_ms.into()),
+        handle: context.handle.clone(),
+        dial: context.dial.clone(),
+        metrics: Arc::clone(&context.metrics),
     };
     task::spawn(carrier.run());
     let lost = || Fault {
--- a/crates/peridotdeck-router/src/dial.rs
+++ b/crates/peridotdeck-router/src/dial.rs
@@ -18,7 +18,7 @@
     ) -> impl Future<Output = Result<TcpStream, client::Error>> + Send;
 
     /// Returns the extra delay of a datagram to a data centre, or none if it is lost.
-    fn datagram(&self, place: &str) -> Option<Duration>;
+    fn datagram_delay(&self, place: &str) -> Option<Duration>;
 
     /// Returns whether the platform can be reached.
     fn reaches_platform(&self) -> bool;
@@ -33,7 +33,7 @@
         client::connect(address).await
     }
 
-    fn datagram(&self, _place: &str) -> Option<Duration> {
+    fn datagram_delay(&self, _place: &str) -> Option<Duration> {
         Some(Duration::ZERO)
     }
 
--- a/crates/peridotdeck-router/src/peers.rs
+++ b/crates/peridotdeck-router/src/peers.rs
@@ -93,7 +93,7 @@
 
     /// Sends a message, by datagram if it fits.
     pub fn send(&self, to: Member, body: Body) {
-        let Some(delay) = self.dial.datagram(&to.place) else {
+        let Some(delay) = self.dial.datagram_delay(&to.place) else {
             return;
         };
         let envelope = self.envelope(body);
--- a/crates/peridotdeck-router/src/router.rs
+++ b/crates/peridotdeck-router/src/router.rs
@@ -244,15 +244,15 @@
         head: Duration::from_millis(settings.body_timeout_ms.into()),
         connections: settings.open_connections as usize,
     };
-    let desk = callers::Desk {
+    let context = callers::Context {
         handle: handle.clone(),
         dial,
         metrics: Arc::clone(metrics),
         settings,
     };
-    let mut app = tide::with_state(Arc::new(desk));
+    let mut app = tide::with_state(Arc::new(context));
     operators::route(&mut app);
-    callers::route(&mut app);
+    callers::add_routes(&mut app);
     let respond = move |request| {
         let app = app.clone();
         async move { app.respond::<_, http_types::Response>(request).await }
