--- a/crates/peridotdeck-cli/src/main.rs
+++ b/crates/peridotdeck-cli/src/main.rs
@@ -5,7 +5,7 @@
 use async_std::task;
 use bpaf::Bpaf;
 use peridotdeck_cli::ops;
-use peridotdeck_router::operators::Question;
+use peridotdeck_router::operators::Query;
 
 /// Checks configurations and asks routers.
 #[derive(Bpaf, Clone, Debug)]
@@ -86,12 +86,12 @@
             class,
             service,
         } => {
-            let question = Question {
+            let query = Query {
                 organisation,
                 service,
                 class,
             };
-            Ok(ops::show_explanation(&ops::explain(node, question).await?))
+            Ok(ops::show_explanation(&ops::explain(node, query).await?))
         }
         Command::Inspect {
             route,
--- a/crates/peridotdeck-cli/src/ops.rs
+++ b/crates/peridotdeck-cli/src/ops.rs
@@ -7,7 +7,7 @@
 };
 
 use peridotdeck_policy::{Config, Parts, Snapshot, join, split};
-use peridotdeck_router::operators::{Explanation, Question, Status};
+use peridotdeck_router::operators::{Explanation, Query, Status};
 use quick_error::quick_error;
 
 use crate::remote;
@@ -97,8 +97,8 @@
 ///
 /// # Errors
 /// If the node does not answer, or a name is unknown.
-pub async fn explain(node: SocketAddr, question: Question) -> Result<Explanation, Error> {
-    Ok(remote::call(node, "operator.explain", (question,)).await?)
+pub async fn explain(node: SocketAddr, query: Query) -> Result<Explanation, Error> {
+    Ok(remote::call(node, "operator.explain", (query,)).await?)
 }
 
 /// Asks a node to leave: it takes no new work and lets every request end.
--- a/crates/peridotdeck-load/src/cost.rs
+++ b/crates/peridotdeck-load/src/cost.rs
@@ -250,9 +250,14 @@
         let revision = stage.platform.publish(&split(&stage.config));
         let started = Instant::now();
         let lags = |stage: &Stage| {
-            stage
-                .routers()
-                .any(|router| router.handle().shared.revision.load(Ordering::Relaxed) < revision)
+            stage.routers().any(|router| {
+                router
+                    .handle()
+                    .shared
+                    .config_revision
+                    .load(Ordering::Relaxed)
+                    < revision
+            })
         };
         while lags(stage) && started.elapsed() < Duration::from_secs(30) {
             task::sleep(LOOK).await;
--- a/crates/peridotdeck-load/src/fault.rs
+++ b/crates/peridotdeck-load/src/fault.rs
@@ -131,7 +131,10 @@
     };
     let pause = Duration::from_secs_f64(seconds);
     let sleep = move |_: &_, _| std::thread::sleep(pause);
-    router.handle().input(Input::Look(Box::new(sleep))).await;
+    router
+        .handle()
+        .send_input(Input::Inspect(Box::new(sleep)))
+        .await;
     let shared = Arc::clone(shared);
     task::spawn(async move {
         task::sleep(NOTICE).await;
--- a/crates/peridotdeck-load/src/ops.rs
+++ b/crates/peridotdeck-load/src/ops.rs
@@ -217,7 +217,10 @@
     }
     let mut shed = 0;
     for router in stage.routers() {
-        let counts = router.handle().look(|node, _| node.pools().counts()).await;
+        let counts = router
+            .handle()
+            .inspect(|node, _| node.pools().counts())
+            .await;
         shed += counts.map_or(0, |counts| counts.shed_for_bulk);
     }
     let experiment = Arc::clone(&crowd.experiment);
--- a/crates/peridotdeck-load/src/stage.rs
+++ b/crates/peridotdeck-load/src/stage.rs
@@ -157,7 +157,7 @@
             let look = move |node: &peridotdeck_core::Node, _| {
                 node.is_ready() && node.witness().is_ready() && node.view().live_count() == nodes
             };
-            if router.handle().look(look).await != Some(true) {
+            if router.handle().inspect(look).await != Some(true) {
                 return false;
             }
         }
@@ -229,7 +229,7 @@
         for router in self.slots.iter().filter_map(|slot| slot.router.as_ref()) {
             let members = router
                 .handle()
-                .look(|node, _| node.view().members().to_vec())
+                .inspect(|node, _| node.view().members().to_vec())
                 .await;
             if let Some(members) = members.filter(|members| !members.is_empty()) {
                 return members;
--- a/crates/peridotdeck-router/benches/streams.rs
+++ b/crates/peridotdeck-router/benches/streams.rs
@@ -58,12 +58,12 @@
     for organisation in 0..600 {
         for class in 0..5 {
             let sample = Sample {
-                first: Some(Duration::from_millis(30)),
-                gap: Some(Duration::from_millis(10)),
-                whole: Duration::from_millis(500),
-                attained: true,
+                time_to_first_token: Some(Duration::from_millis(30)),
+                inter_token_latency: Some(Duration::from_millis(10)),
+                duration: Duration::from_millis(500),
+                meets_targets: true,
             };
-            metrics.answered(
+            metrics.count_answer(
                 &format!("tier-{class}"),
                 &format!("org-{organisation}"),
                 sample,
--- a/crates/peridotdeck-router/src/attempt/answer.rs
+++ b/crates/peridotdeck-router/src/attempt/answer.rs
@@ -191,9 +191,9 @@
     /// Returns the latencies so far, judged against targets in milliseconds; 0 sets none.
     #[must_use]
     pub fn sample(&self, first_token_ms: u32, token_gap_ms: u32, whole_ms: u32) -> Sample {
-        let whole = self.arrived.elapsed();
-        let first = self.first.map(|first| first - self.arrived);
-        let gap = match (self.first, self.last) {
+        let duration = self.arrived.elapsed();
+        let time_to_first_token = self.first.map(|first| first - self.arrived);
+        let inter_token_latency = match (self.first, self.last) {
             (Some(first), Some(last)) if self.tokens > 1 => {
                 Some((last - first) / (self.tokens - 1))
             }
@@ -202,13 +202,14 @@
         let met = |time: Option<Duration>, target: u32| {
             target == 0 || time.is_none_or(|time| time <= Duration::from_millis(target.into()))
         };
-        let attained =
-            met(first, first_token_ms) && met(gap, token_gap_ms) && met(Some(whole), whole_ms);
+        let meets_targets = met(time_to_first_token, first_token_ms)
+            && met(inter_token_latency, token_gap_ms)
+            && met(Some(duration), whole_ms);
         Sample {
-            first,
-            gap,
-            whole,
-            attained,
+            time_to_first_token,
+            inter_token_latency,
+            duration,
+            meets_targets,
         }
     }
 }
--- a/crates/peridotdeck-router/src/callers.rs
+++ b/crates/peridotdeck-router/src/callers.rs
@@ -347,7 +347,7 @@
 ) -> Result<Response, Fault> {
     let desk = request.state();
     let stopped = || Fault::bad(503, "leaving", "this node has stopped; try again");
-    let (id, orders) = desk.handle.arrive(call.clone()).await.ok_or_else(stopped)?;
+    let (id, orders) = desk.handle.submit(call.clone()).await.ok_or_else(stopped)?;
     let (head, response) = async_channel::bounded(1);
     let carrier = Carrier {
         request: id,
--- a/crates/peridotdeck-router/src/carrier.rs
+++ b/crates/peridotdeck-router/src/carrier.rs
@@ -16,7 +16,7 @@
     attempt::{Answer, Model, Plain, Target, Whole},
     dial::Dial,
     fault::Fault,
-    handle::{Handle, Order},
+    handle::{Command, Handle},
     metrics::Metrics,
 };
 
@@ -49,7 +49,7 @@
     /// The answer so far.
     pub answer: Answer,
     /// Orders of the core.
-    pub orders: Receiver<Order>,
+    pub orders: Receiver<Command>,
     /// The caller's connection, until it is found closed.
     pub connection: Option<Connection>,
     /// Longest silence of an endpoint.
@@ -64,7 +64,7 @@
 
 enum Step<T> {
     Done(T),
-    Order(Option<Order>),
+    Order(Option<Command>),
     Gone,
 }
 
@@ -76,14 +76,14 @@
             match next {
                 Step::Gone => self.abandon().await,
                 Step::Order(None) | Step::Done(()) => return,
-                Step::Order(Some(Order::Stop { .. })) => {}
-                Step::Order(Some(Order::Refuse(refusal))) => {
+                Step::Order(Some(Command::Stop { .. })) => {}
+                Step::Order(Some(Command::Refuse(refusal))) => {
                     self.metrics
-                        .refused(&self.call.class, &self.call.organisation, refusal);
+                        .count_refusal(&self.call.class, &self.call.organisation, refusal);
                     self.answer.refuse(&Fault::from(refusal)).await;
                     return;
                 }
-                Step::Order(Some(Order::Replay { status, body })) => {
+                Step::Order(Some(Command::Replay { status, body })) => {
                     let content_type = "application/json".to_owned();
                     let _ = self
                         .answer
@@ -95,7 +95,7 @@
                         .await;
                     return;
                 }
-                Step::Order(Some(Order::Run { attempt, endpoint })) => {
+                Step::Order(Some(Command::Run { attempt, endpoint })) => {
                     if self.attempt(attempt, endpoint).await {
                         return;
                     }
@@ -126,7 +126,7 @@
                 let interrupted = or(order(&self.orders), gone(self.connection.as_ref()));
                 match or(attempt_ends, interrupted).await {
                     Step::Done(end) => break Some(end),
-                    Step::Order(Some(Order::Stop { attempt: each })) if each == attempt => {
+                    Step::Order(Some(Command::Stop { attempt: each })) if each == attempt => {
                         stopped = true;
                         break None;
                     }
@@ -179,7 +179,7 @@
     async fn conclude(&mut self, attempt: id::Attempt, end: End) -> bool {
         let class = &self.class;
         let (request, outcome) = (self.request, end.outcome);
-        self.metrics.attempted(&class.name, outcome, end.tokens);
+        self.metrics.count_attempt(&class.name, outcome, end.tokens);
         let sample = self
             .answer
             .sample(class.first_token_ms, class.token_gap_ms, class.whole_ms);
@@ -191,12 +191,12 @@
         self.handle.send(Event::Ended { attempt, end }).await;
         if outcome == Outcome::Finished {
             self.metrics
-                .answered(&self.call.class, &self.call.organisation, sample);
+                .count_answer(&self.call.class, &self.call.organisation, sample);
             log::info!(
                 "event=answered request={request:016x} class={} attained={} ms={}",
                 self.call.class,
-                sample.attained,
-                sample.whole.as_millis()
+                sample.meets_targets,
+                sample.duration.as_millis()
             );
         }
         matches!(outcome, Outcome::Finished | Outcome::Cancelled)
@@ -210,7 +210,7 @@
     }
 }
 
-async fn order<T>(orders: &Receiver<Order>) -> Step<T> {
+async fn order<T>(orders: &Receiver<Command>) -> Step<T> {
     Step::Order(orders.recv().await.ok())
 }
 
--- a/crates/peridotdeck-router/src/driver.rs
+++ b/crates/peridotdeck-router/src/driver.rs
@@ -20,7 +20,7 @@
 use crate::{
     clock::Clock,
     dial::Dial,
-    handle::{Handle, Input, Order},
+    handle::{Command, Handle, Input},
     metrics::Metrics,
     peers::Post,
 };
@@ -39,7 +39,7 @@
     post: Post<D>,
     metrics: Arc<Metrics>,
     seeds: Vec<SocketAddr>,
-    waiting: Vec<(id::Request, Sender<Order>)>,
+    waiting: Vec<(id::Request, Sender<Command>)>,
 }
 
 impl<D: Dial> Driver<D> {
@@ -92,7 +92,7 @@
                     self.event(now, Event::Message(envelope));
                 }
             }
-            Input::Arrive(call, reply) => {
+            Input::Submit(call, reply) => {
                 let request = self.node.next_request_id();
                 let (orders, receiver) = async_channel::bounded(ORDERS);
                 // Ids grow, so the list stays sorted.
@@ -106,7 +106,7 @@
                 );
                 self.event(now, Event::Arrive { request, call });
             }
-            Input::Look(look) => look(&self.node, now),
+            Input::Inspect(inspect) => inspect(&self.node, now),
         }
     }
 
@@ -145,11 +145,11 @@
         }
         self.handle
             .shared
-            .revision
+            .config_revision
             .store(self.node.config().revision(), Ordering::Relaxed);
         self.handle
             .shared
-            .roster
+            .vm_list_revision
             .store(self.node.view().vm_list_revision(), Ordering::Relaxed);
     }
 
@@ -181,7 +181,7 @@
                     endpoint.id,
                     endpoint.place
                 );
-                self.order(request, Order::Run { attempt, endpoint });
+                self.order(request, Command::Run { attempt, endpoint });
             }
             Action::Refuse { request, refusal } => {
                 log::info!(
@@ -189,7 +189,7 @@
                     refusal.cause,
                     refusal.verdict
                 );
-                self.order(request, Order::Refuse(refusal));
+                self.order(request, Command::Refuse(refusal));
             }
             Action::Replay {
                 request,
@@ -197,7 +197,7 @@
                 body,
             } => {
                 log::info!("event=replayed request={request:016x} status={status}");
-                self.order(request, Order::Replay { status, body });
+                self.order(request, Command::Replay { status, body });
             }
             Action::Stop { attempt } => self.stop(attempt),
             Action::Send { to, body } => self.post.send(to, body),
@@ -219,7 +219,7 @@
         }
     }
 
-    fn order(&self, request: id::Request, order: Order) {
+    fn order(&self, request: id::Request, order: Command) {
         let found = self
             .waiting
             .binary_search_by_key(&request, |(each, _)| *each);
@@ -236,7 +236,7 @@
             .iter()
             .find(|flight| flight.attempt() == Some(attempt))
         {
-            self.order(flight.request, Order::Stop { attempt });
+            self.order(flight.request, Command::Stop { attempt });
         }
     }
 
@@ -266,7 +266,7 @@
         task::spawn(async move {
             match read_load(&dial, &endpoint).await {
                 Ok((report, bytes)) => {
-                    metrics.message("in", "load", bytes);
+                    metrics.count_message("in", "load", bytes);
                     handle
                         .send(Event::Reported {
                             endpoint: number,
--- a/crates/peridotdeck-router/src/handle.rs
+++ b/crates/peridotdeck-router/src/handle.rs
@@ -21,7 +21,7 @@
 const INPUTS: usize = 4_096;
 
 /// A look at the node, not on the request path.
-pub type Look = Box<dyn FnOnce(&Node, Duration) + Send>;
+pub type Inspection = Box<dyn FnOnce(&Node, Duration) + Send>;
 
 /// Something for the core to handle.
 pub enum Input {
@@ -30,9 +30,9 @@
     /// A message, with the address that it came from.
     Message(Envelope, IpAddr),
     /// A new request.
-    Arrive(Call, Sender<(id::Request, Receiver<Order>)>),
+    Submit(Call, Sender<(id::Request, Receiver<Command>)>),
     /// A look at the node.
-    Look(Look),
+    Inspect(Inspection),
 }
 
 impl std::fmt::Debug for Input {
@@ -40,15 +40,15 @@
         formatter.write_str(match self {
             Self::Event(_) => "Event",
             Self::Message(..) => "Message",
-            Self::Arrive(..) => "Arrive",
-            Self::Look(_) => "Look",
+            Self::Submit(..) => "Submit",
+            Self::Inspect(_) => "Inspect",
         })
     }
 }
 
 /// What a request's task is told.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum Command {
     /// Send the request to an endpoint.
     Run {
         /// Id that the endpoint must echo.
@@ -84,9 +84,9 @@
 #[derive(Debug, Default)]
 pub struct Shared {
     /// Configuration revision in force.
-    pub revision: AtomicU64,
+    pub config_revision: AtomicU64,
     /// Index of the VM list in use.
-    pub roster: AtomicU64,
+    pub vm_list_revision: AtomicU64,
     /// Whether this node watches the platform.
     pub watching: AtomicBool,
     /// Time in nanoseconds that decisions have taken.
@@ -125,31 +125,31 @@
 
     /// Hands over an event.
     pub async fn send(&self, event: Event) {
-        self.input(Input::Event(event)).await;
+        self.send_input(Input::Event(event)).await;
     }
 
     /// Hands over an input; after the driver has stopped, nothing happens.
-    pub async fn input(&self, input: Input) {
+    pub async fn send_input(&self, input: Input) {
         let _ = self.inputs.send(input).await;
     }
 
     /// Hands over a request and returns its id and orders; none after the driver has stopped.
-    pub async fn arrive(&self, call: Call) -> Option<(id::Request, Receiver<Order>)> {
+    pub async fn submit(&self, call: Call) -> Option<(id::Request, Receiver<Command>)> {
         let (reply, answer) = async_channel::bounded(1);
-        self.input(Input::Arrive(call, reply)).await;
+        self.send_input(Input::Submit(call, reply)).await;
         answer.recv().await.ok()
     }
 
     /// Looks at the node; none after the driver has stopped.
-    pub async fn look<T: Send + 'static>(
+    pub async fn inspect<T: Send + 'static>(
         &self,
-        look: impl FnOnce(&Node, Duration) -> T + Send + 'static,
+        inspect: impl FnOnce(&Node, Duration) -> T + Send + 'static,
     ) -> Option<T> {
         let (reply, answer) = async_channel::bounded(1);
-        let look = move |node: &Node, now| {
-            let _ = reply.try_send(look(node, now));
+        let inspection = move |node: &Node, now| {
+            let _ = reply.try_send(inspect(node, now));
         };
-        self.input(Input::Look(Box::new(look))).await;
+        self.send_input(Input::Inspect(Box::new(inspection))).await;
         answer.recv().await.ok()
     }
 }
--- a/crates/peridotdeck-router/src/metrics.rs
+++ b/crates/peridotdeck-router/src/metrics.rs
@@ -39,13 +39,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sample {
     /// From arrival to the first token.
-    pub first: Option<Duration>,
+    pub time_to_first_token: Option<Duration>,
     /// Mean gap between tokens.
-    pub gap: Option<Duration>,
+    pub inter_token_latency: Option<Duration>,
     /// From arrival to the end.
-    pub whole: Duration,
+    pub duration: Duration,
     /// Whether every target of the class was met.
-    pub attained: bool,
+    pub meets_targets: bool,
 }
 
 impl Metrics {
@@ -141,29 +141,29 @@
     }
 
     /// Counts a whole answer.
-    pub fn answered(&self, class: &str, organisation: &str, sample: Sample) {
+    pub fn count_answer(&self, class: &str, organisation: &str, sample: Sample) {
         let labels = [class, organisation];
-        if let Some(first) = sample.first {
+        if let Some(first) = sample.time_to_first_token {
             self.first_token
                 .with_label_values(&labels)
                 .observe(first.as_secs_f64());
         }
-        if let Some(gap) = sample.gap {
+        if let Some(gap) = sample.inter_token_latency {
             self.gap
                 .with_label_values(&labels)
                 .observe(gap.as_secs_f64());
         }
         self.whole
             .with_label_values(&labels)
-            .observe(sample.whole.as_secs_f64());
-        let attained = if sample.attained { "yes" } else { "no" };
+            .observe(sample.duration.as_secs_f64());
+        let attained = if sample.meets_targets { "yes" } else { "no" };
         self.attained
             .with_label_values(&[class, organisation, attained])
             .inc();
     }
 
     /// Counts a request that ended without a whole answer.
-    pub fn refused(&self, class: &str, organisation: &str, refusal: Refusal) {
+    pub fn count_refusal(&self, class: &str, organisation: &str, refusal: Refusal) {
         let (cause, verdict) = (refusal.cause.into(), refusal.verdict.into());
         self.refused
             .with_label_values(&[class, organisation, cause, verdict])
@@ -171,7 +171,7 @@
     }
 
     /// Counts an attempt and the tokens that it delivered.
-    pub fn attempted(&self, class: &str, outcome: Outcome, tokens: u32) {
+    pub fn count_attempt(&self, class: &str, outcome: Outcome, tokens: u32) {
         self.attempts
             .with_label_values(&[class, &outcome.to_string()])
             .inc();
@@ -181,7 +181,7 @@
     }
 
     /// Counts a message between routers.
-    pub fn message(&self, direction: &str, kind: &str, bytes: usize) {
+    pub fn count_message(&self, direction: &str, kind: &str, bytes: usize) {
         self.messages
             .with_label_values(&[direction, kind])
             .inc_by(bytes as u64);
@@ -213,7 +213,7 @@
 
     /// Sets the gauges from the node's state and prints all series.
     #[must_use]
-    pub fn print(&self, node: &Node) -> String {
+    pub fn render(&self, node: &Node) -> String {
         self.observe(node);
         let mut text = Vec::new();
         if let Err(cause) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/peridotdeck-router/src/operators.rs
+++ b/crates/peridotdeck-router/src/operators.rs
@@ -73,7 +73,7 @@
 
 /// A request to explain.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Question {
+pub struct Query {
     /// Name of the customer.
     pub organisation: String,
     /// Name of the service.
@@ -113,7 +113,7 @@
 }
 
 /// Adds the operators' and peers' routes.
-pub fn route<D: Dial>(app: &mut tide::Server<State<D>>) {
+pub fn add_routes<D: Dial>(app: &mut tide::Server<State<D>>) {
     app.at("/healthz").get(|_| async { Ok("ok\n") });
     app.at("/readyz").get(ready::<D>);
     app.at("/metrics").get(metrics::<D>);
@@ -122,7 +122,11 @@
 }
 
 async fn ready<D: Dial>(request: Request<State<D>>) -> tide::Result {
-    let ready = request.state().handle.look(|node, _| node.is_ready()).await;
+    let ready = request
+        .state()
+        .handle
+        .inspect(|node, _| node.is_ready())
+        .await;
     let (status, text) = if ready == Some(true) {
         (200, "ready\n")
     } else {
@@ -136,7 +140,7 @@
     let text = request
         .state()
         .handle
-        .look(move |node, _| metrics.print(node))
+        .inspect(move |node, _| metrics.render(node))
         .await;
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(text.unwrap_or_default());
@@ -197,15 +201,15 @@
     let mut module = RpcModule::new(handle);
     module.register_async_method("operator.status", move |_, handle, _| async move {
         handle
-            .look(|node, _| status(node))
+            .inspect(|node, _| status(node))
             .await
             .ok_or_else(stopped)
     })?;
     module.register_async_method("operator.explain", move |params, handle, _| async move {
-        let question: Question = params.one()?;
-        let look = move |node: &Node, now| explain(node, &question, now);
+        let query: Query = params.one()?;
+        let look = move |node: &Node, now| explain(node, &query, now);
         handle
-            .look(look)
+            .inspect(look)
             .await
             .ok_or_else(stopped)?
             .map_err(|cause| ErrorObjectOwned::owned::<()>(-32_602, cause, None))
@@ -262,21 +266,21 @@
     }
 }
 
-fn explain(node: &Node, question: &Question, now: Duration) -> Result<Explanation, String> {
+fn explain(node: &Node, query: &Query, now: Duration) -> Result<Explanation, String> {
     let snapshot = node.snapshot().ok_or("the node has no configuration yet")?;
     let unknown = |kind: &str, name: &str| format!("unknown {kind} \"{name}\"");
     let service = snapshot
-        .service(&question.service)
-        .ok_or_else(|| unknown("service", &question.service))?;
-    let name = if question.class.is_empty() {
+        .service(&query.service)
+        .ok_or_else(|| unknown("service", &query.service))?;
+    let name = if query.class.is_empty() {
         &service.class
     } else {
-        &question.class
+        &query.class
     };
     let class = snapshot.class(name).ok_or_else(|| unknown("class", name))?;
     let organisation = snapshot
-        .organisation(&question.organisation)
-        .ok_or_else(|| unknown("organisation", &question.organisation))?;
+        .organisation(&query.organisation)
+        .ok_or_else(|| unknown("organisation", &query.organisation))?;
     let call = Call {
         organisation: organisation.name.clone(),
         service: service.name.clone(),
--- a/crates/peridotdeck-router/src/peers.rs
+++ b/crates/peridotdeck-router/src/peers.rs
@@ -113,7 +113,7 @@
             );
             return;
         };
-        self.metrics.message("out", kind, bytes.len());
+        self.metrics.count_message("out", kind, bytes.len());
         let socket = Arc::clone(&self.socket);
         task::spawn(async move {
             if !delay.is_zero() {
@@ -146,7 +146,7 @@
         let call = Call::borrowed(DELIVER, Some(&params), Id::Number(envelope.sequence));
         let text = serde_json::to_string(&call)?;
         self.metrics
-            .message("out", kind(&envelope.body), text.len());
+            .count_message("out", kind(&envelope.body), text.len());
         let mut request = Request::new(Method::Post, client::url(address, PATH)?);
         request.set_body(text);
         request.set_content_type(mime::JSON);
@@ -202,11 +202,11 @@
         };
         match decode(&buffer[..size]) {
             Ok(envelope) => {
-                metrics.message("in", kind(&envelope.body), size);
-                handle.input(Input::Message(envelope, from.ip())).await;
+                metrics.count_message("in", kind(&envelope.body), size);
+                handle.send_input(Input::Message(envelope, from.ip())).await;
             }
             Err(cause) => {
-                metrics.message("in", "malformed", size);
+                metrics.count_message("in", "malformed", size);
                 log::debug!("event=malformed_message peer={from} cause=\"{cause}\"");
             }
         }
@@ -225,8 +225,8 @@
     let Ok([envelope]) = serde_json::from_str::<[Envelope; 1]>(params) else {
         return error(call.id, -32_602, "the parameter is not one envelope");
     };
-    metrics.message("in", kind(&envelope.body), text.len());
-    handle.input(Input::Message(envelope, from)).await;
+    metrics.count_message("in", kind(&envelope.body), text.len());
+    handle.send_input(Input::Message(envelope, from)).await;
     let payload = ResponsePayload::success(true);
     serde_json::to_string(&Response::new(payload, call.id)).unwrap_or_default()
 }
--- a/crates/peridotdeck-router/src/platform.rs
+++ b/crates/peridotdeck-router/src/platform.rs
@@ -97,8 +97,8 @@
 
 fn is_news(subject: Subject, delta: &Delta, handle: &Handle) -> bool {
     match subject {
-        Subject::Config => delta.to > handle.shared.revision.load(Ordering::Relaxed),
-        Subject::Vms => delta.roster > handle.shared.roster.load(Ordering::Relaxed),
+        Subject::Config => delta.to > handle.shared.config_revision.load(Ordering::Relaxed),
+        Subject::Vms => delta.roster > handle.shared.vm_list_revision.load(Ordering::Relaxed),
     }
 }
 
@@ -116,8 +116,14 @@
         ));
     }
     let (path, index) = match subject {
-        Subject::Config => ("/v1/config", handle.shared.revision.load(Ordering::Relaxed)),
-        Subject::Vms => ("/v1/vms", handle.shared.roster.load(Ordering::Relaxed)),
+        Subject::Config => (
+            "/v1/config",
+            handle.shared.config_revision.load(Ordering::Relaxed),
+        ),
+        Subject::Vms => (
+            "/v1/vms",
+            handle.shared.vm_list_revision.load(Ordering::Relaxed),
+        ),
     };
     let path = format!("{path}?index={index}&wait_ms={}", wait.as_millis());
     let (from, mut delta) = (index, empty());
--- a/crates/peridotdeck-router/src/router.rs
+++ b/crates/peridotdeck-router/src/router.rs
@@ -179,7 +179,7 @@
         self.handle.send(Event::Drain).await;
         let started = Instant::now();
         while started.elapsed() < self.drain {
-            let idle = self.handle.look(|node, _| node.is_idle()).await;
+            let idle = self.handle.inspect(|node, _| node.is_idle()).await;
             if idle != Some(false) {
                 log::info!("event=drained ms={}", started.elapsed().as_millis());
                 return true;
@@ -251,7 +251,7 @@
         settings,
     };
     let mut app = tide::with_state(Arc::new(desk));
-    operators::route(&mut app);
+    operators::add_routes(&mut app);
     callers::route(&mut app);
     let respond = move |request| {
         let app = app.clone();
--- a/crates/peridotdeck-router/tests/testsuite/fleet.rs
+++ b/crates/peridotdeck-router/tests/testsuite/fleet.rs
@@ -19,7 +19,7 @@
             for router in &site.routers {
                 while router
                     .handle()
-                    .look(|node, _| node.config().revision())
+                    .inspect(|node, _| node.config().revision())
                     .await
                     != Some(revision)
                 {
@@ -39,7 +39,7 @@
         let mut site = Site::start(&[fast()], 2).await;
         let before = site.routers[0]
             .handle()
-            .look(|node, _| node.config().revision())
+            .inspect(|node, _| node.config().revision())
             .await
             .unwrap();
         site.config.classes.clear();
@@ -47,7 +47,7 @@
         let refused = async {
             while site.routers[0]
                 .handle()
-                .look(|node, _| node.config().rejected_revision())
+                .inspect(|node, _| node.config().rejected_revision())
                 .await
                 != Some(broken)
             {
@@ -59,7 +59,7 @@
             .expect("the mistake is noticed");
         let now = site.routers[0]
             .handle()
-            .look(|node, _| node.config().revision())
+            .inspect(|node, _| node.config().revision())
             .await;
         assert_eq!(now, Some(before), "the old configuration stays in force");
         assert!(
--- a/crates/peridotdeck-router/tests/testsuite/site.rs
+++ b/crates/peridotdeck-router/tests/testsuite/site.rs
@@ -142,7 +142,7 @@
         let count = self.routers.len();
         for router in &self.routers {
             loop {
-                let ready = router.handle().look(move |node, _| {
+                let ready = router.handle().inspect(move |node, _| {
                     node.is_ready()
                         && node.view().live_count() == count
                         && node.witness().is_ready()
--- a/crates/peridotdeck-router/tests/testsuite/streams.rs
+++ b/crates/peridotdeck-router/tests/testsuite/streams.rs
@@ -91,7 +91,7 @@
             loop {
                 let open = site.routers[0]
                     .handle()
-                    .look(|node, _| node.request_table().flights().len())
+                    .inspect(|node, _| node.request_table().flights().len())
                     .await;
                 if open == Some(0) && site.engines[0].load().running == 0 {
                     return;
