--- a/crates/peridotdeck-router/src/callers.rs
+++ b/crates/peridotdeck-router/src/callers.rs
@@ -349,7 +349,7 @@
     let stopped = || Fault::bad(503, "leaving", "this node has stopped; try again");
     let (id, orders) = context
         .handle
-        .arrive(call.clone())
+        .submit(call.clone())
         .await
         .ok_or_else(stopped)?;
     let (head, response) = async_channel::bounded(1);
