--- a/crates/peridotdeck-router/src/api_error.rs
+++ b/crates/peridotdeck-router/src/api_error.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them: the API's error object, with a verdict.
+//! Errors that callers receive: the API's error object and a verdict.
 
 use std::time::Duration;
 
@@ -9,30 +9,30 @@
 };
 use serde_json::{Value, json};
 
-/// Header that carries the verdict of a refusal.
-pub const VERDICT: &str = "x-peridotdeck-verdict";
+/// Response header that states whether the refused request may have run.
+pub const VERDICT_HEADER: &str = "x-peridotdeck-verdict";
 
-/// An error of a caller or of the system.
+/// An error response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ApiError {
     /// HTTP status.
     pub status: u16,
-    /// Kind, as the API's clients know it.
+    /// Type of the error in the API, such as `invalid_request_error`.
     pub kind: &'static str,
-    /// Short name of the cause, or of what was wrong.
+    /// Short name of the cause.
     pub code: String,
-    /// What a person should do.
+    /// Message for a person: the cause, and what to do about it.
     pub message: String,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When a new try makes sense.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-impl Fault {
-    /// A mistake of the caller; nothing ran.
+impl ApiError {
+    /// Returns an error of type `invalid_request_error` for a request that did not run.
     #[must_use]
-    pub fn bad(status: u16, code: &str, message: impl Into<String>) -> Self {
+    pub fn new(status: u16, code: &str, message: impl Into<String>) -> Self {
         Self {
             status,
             kind: "invalid_request_error",
@@ -62,17 +62,17 @@
         let mut response = Response::new(status);
         response.set_body(self.body().to_string());
         response.set_content_type(mime::JSON);
-        response.insert_header(VERDICT, self.verdict.to_string());
-        if let Some(wait) = self.retry_after {
-            response.insert_header("retry-after", wait.as_secs().max(1).to_string());
+        response.insert_header(VERDICT_HEADER, self.verdict.to_string());
+        if let Some(delay) = self.retry_after {
+            response.insert_header("retry-after", delay.as_secs().max(1).to_string());
         }
         response
     }
 }
 
-impl From<Refusal> for Fault {
+impl From<Refusal> for ApiError {
     fn from(refusal: Refusal) -> Self {
-        let (status, kind, message) = describe(refusal.cause);
+        let (status, kind, message) = status_kind_message(refusal.cause);
         Self {
             status,
             kind,
@@ -84,7 +84,8 @@
     }
 }
 
-fn describe(cause: Cause) -> (u16, &'static str, &'static str) {
+/// Returns the HTTP status, the error type and the message of a refusal.
+fn status_kind_message(cause: Cause) -> (u16, &'static str, &'static str) {
     match cause {
         Cause::Unconfigured => (
             503,
--- a/crates/peridotdeck-router/src/attempt.rs
+++ b/crates/peridotdeck-router/src/attempt.rs
@@ -1,15 +1,15 @@
-//! One try of a request at an endpoint.
+//! One attempt to run a request at an endpoint.
 //!
-//! An answer counts only if it echoes the attempt's id on the connection that sent the request, and
-//! a stream is whole only with its end marker. Silence counts as a dead connection.
+//! A response that carries the id of another attempt is rejected, and a stream is complete only
+//! after its end marker. An endpoint that sends nothing for too long counts as a dead connection.
 
 mod answer;
 mod completion;
 mod plain;
 
-pub use answer::{Answer, Gone, Whole};
-pub use completion::Model;
-pub use plain::Plain;
+pub use answer::{Answer, Disconnected, FullResponse};
+pub use completion::CompletionRequest;
+pub use plain::PlainRequest;
 
 use std::{
     net::SocketAddr,
@@ -24,62 +24,66 @@
 
 use crate::dial::Dial;
 
-/// Header with the attempt's id, which the answer echoes.
-const ID: &str = "x-request-id";
+/// Request header with the attempt's id, which the endpoint echoes in its response.
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Header with the urgency of the class; smaller is served first.
-const PRIORITY: &str = "x-priority";
+/// Request header with the tier of the class; endpoints serve smaller values first.
+const PRIORITY_HEADER: &str = "x-priority";
 
-/// Header with the name of the class, for the endpoint's own counts.
-const CLASS: &str = "x-class";
+/// Request header with the name of the class, for the endpoint's own counters.
+const CLASS_HEADER: &str = "x-class";
 
-/// Header by which an endpoint vouches that it did not run what it refuses.
-const VERDICT: &str = "x-verdict";
+/// Response header in which an endpoint confirms that it did not run the refused request.
+const VERDICT_HEADER: &str = "x-verdict";
 
-/// What every attempt needs.
+/// Parameters of one attempt.
 #[derive(Clone, Debug)]
-pub struct Target {
-    /// The attempt.
+pub struct Parameters {
+    /// Id of the attempt.
     pub attempt: id::Attempt,
-    /// Where it runs.
+    /// Endpoint that runs the request.
     pub endpoint: Endpoint,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
-    /// Urgency of its class.
+    /// Tier of the request's class; smaller is more urgent.
     pub tier: u8,
-    /// Longest silence of the endpoint.
-    pub silence: Duration,
-    /// Longest time to the response head of an answer that comes whole.
-    pub patience: Duration,
+    /// Longest wait for the next event of a stream; after it, the endpoint counts as dead.
+    pub idle_timeout: Duration,
+    /// Longest time to the response head, and then to the body, of an answer that is not streamed.
+    pub response_timeout: Duration,
 }
 
-impl Target {
-    /// Returns the attempt's id as endpoints see it.
+impl Parameters {
+    /// Returns the attempt's id as it is sent to endpoints: 16 hexadecimal digits.
     #[must_use]
     pub fn id(&self) -> String {
         format!("{:016x}", self.attempt)
     }
 }
 
-/// Opens a connection and sends a request; tells how it failed and whether it may have run.
+/// Sends a request on a new connection and returns the response head.
+///
+/// # Errors
+/// [`Outcome::Unreachable`] if the request was not sent; [`Outcome::Broken`] or
+/// [`Outcome::Silent`] if it may have run.
 async fn send<D: Dial>(
     dial: &D,
-    target: &Target,
+    params: &Parameters,
     request: impl FnOnce(SocketAddr) -> http_types::Result<Request>,
-    patience: Duration,
+    response_timeout: Duration,
 ) -> Result<Response, Outcome> {
-    let address: SocketAddr = target
+    let address: SocketAddr = params
         .endpoint
         .address
         .parse()
         .map_err(|_| Outcome::Unreachable)?;
     let mut request = request(address).map_err(|_| Outcome::Unreachable)?;
-    request.insert_header(ID, target.id());
-    request.insert_header(CLASS, target.class.as_str());
-    request.insert_header(PRIORITY, target.tier.to_string());
-    let connected = dial.connect(&target.endpoint.place, address).await;
+    request.insert_header(REQUEST_ID_HEADER, params.id());
+    request.insert_header(CLASS_HEADER, params.class.as_str());
+    request.insert_header(PRIORITY_HEADER, params.tier.to_string());
+    let connected = dial.connect(&params.endpoint.place, address).await;
     let stream = connected.map_err(|_| Outcome::Unreachable)?;
-    match client::send(stream, request, patience).await {
+    match client::send(stream, request, response_timeout).await {
         Ok(response) => Ok(response),
         Err(client::Error::Unreachable(_)) => Err(Outcome::Unreachable),
         Err(client::Error::Broken(_)) => Err(Outcome::Broken),
@@ -87,26 +91,31 @@
     }
 }
 
-/// Returns whether a response names another attempt.
-fn is_crossed(response: &Response, target: &Target) -> bool {
+/// Returns whether a response carries the id of another attempt.
+fn names_other_attempt(response: &Response, params: &Parameters) -> bool {
     response
-        .header(ID)
-        .is_some_and(|id| id.last().as_str() != target.id())
+        .header(REQUEST_ID_HEADER)
+        .is_some_and(|id| id.last().as_str() != params.id())
 }
 
-/// Returns whether the endpoint vouches that it did not run the request.
-fn vouches_not_run(response: &Response) -> bool {
+/// Returns whether the endpoint confirms that it did not run the request.
+fn confirms_not_run(response: &Response) -> bool {
     response
-        .header(VERDICT)
+        .header(VERDICT_HEADER)
         .is_some_and(|verdict| verdict.last().as_str() == "not_run")
 }
 
-/// Describes the end of an attempt.
-fn end(outcome: Outcome, tokens: u32, first: Option<Instant>, started: Instant) -> End {
+/// Returns the outcome and measurements of an attempt that ends now.
+fn attempt_end(
+    outcome: Outcome,
+    tokens: u32,
+    first_token: Option<Instant>,
+    started: Instant,
+) -> End {
     End {
         outcome,
         tokens,
-        time_to_first_token: first.map(|first| first.duration_since(started)),
+        time_to_first_token: first_token.map(|time| time.duration_since(started)),
         duration: started.elapsed(),
         answer: None,
     }
--- a/crates/peridotdeck-router/src/attempt/answer.rs
+++ b/crates/peridotdeck-router/src/attempt/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller, put together from one attempt or several.
+//! The answer to a caller, assembled from one or more attempts.
 
 use std::time::{Duration, Instant};
 
@@ -8,104 +8,111 @@
 use peridotdeck_http::body::{self, Feed};
 use serde_json::{Value, json};
 
-use crate::{api_error::Fault, metrics::Sample};
+use crate::{api_error::ApiError, metrics::Sample};
 
-/// A whole answer that passes through unread.
+/// A complete response, held in memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct FullResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
+    /// Value of the `content-type` header.
     pub content_type: String,
-    /// Body.
+    /// Body in bytes, sent unchanged.
     pub body: Vec<u8>,
 }
 
-/// The caller has gone away.
+/// The caller can receive no more: it disconnected or already has a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct Disconnected;
 
-/// What the caller has received, and the way to it.
+/// The answer to one request: what the caller has received so far and how to send the rest.
 #[derive(Debug)]
 pub struct Answer {
     request: id::Request,
-    head: Option<Sender<Response>>,
-    feed: Option<Feed>,
+    response_sender: Option<Sender<Response>>,
+    chunks: Option<Feed>,
     streams: bool,
     chat: bool,
     text: String,
-    reason: Option<String>,
+    finish_reason: Option<String>,
     tokens: u32,
     arrived: Instant,
-    first: Option<Instant>,
-    last: Option<Instant>,
+    first_token: Option<Instant>,
+    last_token: Option<Instant>,
 }
 
 impl Answer {
-    /// Starts an answer; `head` takes the response once it is known.
+    /// Returns an empty answer that sends its response head through `response_sender`.
+    ///
+    /// `streams` selects server-sent events, `chat` the chat format.
     #[must_use]
-    pub fn new(request: id::Request, head: Sender<Response>, streams: bool, chat: bool) -> Self {
+    pub fn new(
+        request: id::Request,
+        response_sender: Sender<Response>,
+        streams: bool,
+        chat: bool,
+    ) -> Self {
         Self {
             request,
-            head: Some(head),
-            feed: None,
+            response_sender: Some(response_sender),
+            chunks: None,
             streams,
             chat,
             text: String::new(),
-            reason: None,
+            finish_reason: None,
             tokens: 0,
             arrived: Instant::now(),
-            first: None,
-            last: None,
+            first_token: None,
+            last_token: None,
         }
     }
 
-    /// Returns the tokens that the caller has received or will receive.
+    /// Returns the number of tokens that the caller has received or will receive.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Takes one event of an endpoint's stream.
+    /// Adds one event of an endpoint's stream and counts it as one token.
     ///
-    /// The endpoint's id is replaced by the request's, which has the same length, so that the
-    /// caller sees one id although several attempts may have contributed.
+    /// The attempt's id is replaced by the request's id, which has the same length, so that the
+    /// caller sees one id even if several attempts contribute.
     ///
     /// # Errors
-    /// [`Gone`] if the caller's connection is closed; the event does not count then.
-    pub async fn push_event(&mut self, data: &[u8], attempt: &str) -> Result<(), Gone> {
+    /// [`Disconnected`] if the caller's connection is closed; the event is not counted then.
+    pub async fn push_event(&mut self, data: &[u8], attempt: &str) -> Result<(), Disconnected> {
         if self.streams {
             let mut chunk = Vec::with_capacity(data.len() + 8);
             chunk.extend_from_slice(b"data: ");
             chunk.extend_from_slice(data);
             chunk.extend_from_slice(b"\n\n");
-            rename(&mut chunk, attempt, self.request);
-            self.feed(chunk).await?;
+            replace_id(&mut chunk, attempt, self.request);
+            self.send_chunk(chunk).await?;
         } else {
-            self.append(data);
+            self.append_text(data);
         }
         self.tokens += 1;
         let now = Instant::now();
-        self.first.get_or_insert(now);
-        self.last = Some(now);
+        self.first_token.get_or_insert(now);
+        self.last_token = Some(now);
         Ok(())
     }
 
-    async fn feed(&mut self, chunk: Vec<u8>) -> Result<(), Gone> {
-        if self.feed.is_none() {
-            let (feed, body) = body::channel();
+    async fn send_chunk(&mut self, chunk: Vec<u8>) -> Result<(), Disconnected> {
+        if self.chunks.is_none() {
+            let (chunks, body) = body::channel();
             let mut response = Response::new(StatusCode::Ok);
             response.set_body(body);
             response.insert_header("content-type", "text/event-stream");
             response.insert_header("cache-control", "no-cache");
-            self.feed = Some(feed);
-            self.respond(response).await?;
+            self.chunks = Some(chunks);
+            self.send_response(response).await?;
         }
-        let feed = self.feed.as_ref().ok_or(Gone)?;
-        feed.send(Ok(chunk)).await.map_err(|_| Gone)
+        let chunks = self.chunks.as_ref().ok_or(Disconnected)?;
+        chunks.send(Ok(chunk)).await.map_err(|_| Disconnected)
     }
 
-    fn append(&mut self, data: &[u8]) {
+    fn append_text(&mut self, data: &[u8]) {
         let Ok(chunk) = serde_json::from_slice::<Value>(data) else {
             return;
         };
@@ -117,33 +124,33 @@
         };
         self.text.push_str(text.as_str().unwrap_or_default());
         if let Some(reason) = choice["finish_reason"].as_str() {
-            self.reason = Some(reason.to_owned());
+            self.finish_reason = Some(reason.to_owned());
         }
     }
 
-    async fn respond(&mut self, response: Response) -> Result<(), Gone> {
-        let head = self.head.take().ok_or(Gone)?;
-        head.send(response).await.map_err(|_| Gone)
+    async fn send_response(&mut self, response: Response) -> Result<(), Disconnected> {
+        let sender = self.response_sender.take().ok_or(Disconnected)?;
+        sender.send(response).await.map_err(|_| Disconnected)
     }
 
-    /// Ends a streamed or collected answer well.
+    /// Ends the answer: sends the end marker of a stream, or the collected completion.
     pub async fn finish(&mut self, model: &str, prompt_tokens: u32) {
         let _ = if self.streams {
-            self.feed(b"data: [DONE]\n\n".to_vec()).await
+            self.send_chunk(b"data: [DONE]\n\n".to_vec()).await
         } else {
-            let body = self.collected(model, prompt_tokens).to_string();
-            self.whole(Whole {
+            let body = self.completion(model, prompt_tokens).to_string();
+            self.send_full(FullResponse {
                 status: 200,
                 content_type: "application/json".to_owned(),
                 body: body.into_bytes(),
             })
             .await
         };
-        self.feed = None;
+        self.chunks = None;
     }
 
-    fn collected(&self, model: &str, prompt_tokens: u32) -> Value {
-        let mut choice = json!({"index": 0, "finish_reason": self.reason, "logprobs": null});
+    fn completion(&self, model: &str, prompt_tokens: u32) -> Value {
+        let mut choice = json!({"index": 0, "finish_reason": self.finish_reason, "logprobs": null});
         if self.chat {
             choice["message"] = json!({"role": "assistant", "content": self.text});
         } else {
@@ -163,37 +170,39 @@
         })
     }
 
-    /// Gives the caller a whole answer.
+    /// Sends the caller a complete response.
     ///
     /// # Errors
-    /// [`Gone`] if the caller has gone away or has an answer already.
-    pub async fn whole(&mut self, whole: Whole) -> Result<(), Gone> {
-        let status = StatusCode::try_from(whole.status).unwrap_or(StatusCode::BadGateway);
+    /// [`Disconnected`] if the caller has disconnected or already has a response.
+    pub async fn send_full(&mut self, full: FullResponse) -> Result<(), Disconnected> {
+        let status = StatusCode::try_from(full.status).unwrap_or(StatusCode::BadGateway);
         let mut response = Response::new(status);
-        response.set_body(whole.body);
-        response.insert_header("content-type", whole.content_type);
+        response.set_body(full.body);
+        response.insert_header("content-type", full.content_type);
         response.insert_header("x-request-id", format!("{:016x}", self.request));
-        self.respond(response).await
+        self.send_response(response).await
     }
 
-    /// Tells the caller that there will be no whole answer.
+    /// Sends the caller an error instead of a complete answer.
     ///
     /// A stream that has begun gets an error event and no end marker.
-    pub async fn refuse(&mut self, fault: &Fault) {
-        if let Some(feed) = self.feed.take() {
-            let event = format!("data: {}\n\n", fault.body());
-            let _ = feed.send(Ok(event.into_bytes())).await;
+    pub async fn send_error(&mut self, error: &ApiError) {
+        if let Some(chunks) = self.chunks.take() {
+            let event = format!("data: {}\n\n", error.body());
+            let _ = chunks.send(Ok(event.into_bytes())).await;
             return;
         }
-        let _ = self.respond(fault.response()).await;
+        let _ = self.send_response(error.response()).await;
     }
 
-    /// Returns the latencies so far, judged against targets in milliseconds; 0 sets none.
+    /// Returns the latencies so far and whether they meet the targets.
+    ///
+    /// Targets are in milliseconds; 0 means no target.
     #[must_use]
-    pub fn sample(&self, first_token_ms: u32, token_gap_ms: u32, whole_ms: u32) -> Sample {
+    pub fn latencies(&self, first_token_ms: u32, token_gap_ms: u32, whole_ms: u32) -> Sample {
         let duration = self.arrived.elapsed();
-        let time_to_first_token = self.first.map(|first| first - self.arrived);
-        let inter_token_latency = match (self.first, self.last) {
+        let time_to_first_token = self.first_token.map(|first| first - self.arrived);
+        let inter_token_latency = match (self.first_token, self.last_token) {
             (Some(first), Some(last)) if self.tokens > 1 => {
                 Some((last - first) / (self.tokens - 1))
             }
@@ -214,14 +223,15 @@
     }
 }
 
-fn rename(chunk: &mut [u8], attempt: &str, request: id::Request) {
-    let name = format!("{request:016x}");
+/// Replaces the first occurrence of the attempt's id in a chunk by the request's id.
+fn replace_id(chunk: &mut [u8], attempt: &str, request: id::Request) {
+    let id = format!("{request:016x}");
     let found = chunk
         .windows(attempt.len())
         .position(|window| window == attempt.as_bytes());
-    if let Some(at) = found
-        && name.len() == attempt.len()
+    if let Some(start) = found
+        && id.len() == attempt.len()
     {
-        chunk[at..at + name.len()].copy_from_slice(name.as_bytes());
+        chunk[start..start + id.len()].copy_from_slice(id.as_bytes());
     }
 }
--- a/crates/peridotdeck-router/src/attempt/completion.rs
+++ b/crates/peridotdeck-router/src/attempt/completion.rs
@@ -1,4 +1,4 @@
-//! A try of a completion request at a model engine.
+//! One attempt to run a completion request at a model engine.
 
 use std::time::{Duration, Instant};
 
@@ -10,46 +10,55 @@
 use peridotdeck_http::client;
 use peridotdeck_wire::Outcome;
 
-use super::{Answer, Target, Whole, end, is_crossed, send, vouches_not_run};
+use super::{
+    Answer, FullResponse, Parameters, attempt_end, confirms_not_run, names_other_attempt, send,
+};
 use crate::{dial::Dial, prompt::Prompt};
 
-/// Longest error body in bytes that is passed on to the caller.
-const MAX_ERROR: usize = 64 * 1_024;
+/// Longest error body in bytes that is forwarded to the caller; a longer one fails the attempt.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1_024;
 
-/// Time that an engine may spend on a prompt token before the first output token; a slow engine
-/// spends a part of it.
-const PREFILL: Duration = Duration::from_millis(1);
+/// Longest prefill time per prompt token; even a slow engine needs only a part of it.
+const MAX_PREFILL_PER_TOKEN: Duration = Duration::from_millis(1);
 
-/// Data of the event that ends a stream.
-const DONE: &[u8] = b"[DONE]";
+/// Data of the event that marks the end of a stream.
+const END_MARKER: &[u8] = b"[DONE]";
 
-/// A completion request.
+/// A completion request to send to a model engine.
 #[derive(Clone, Debug)]
-pub struct Model {
-    /// What the caller sent.
+pub struct CompletionRequest {
+    /// The caller's request body and the properties read from it.
     pub prompt: Prompt,
-    /// Whether it came to the chat interface.
+    /// Whether the request uses the chat interface.
     pub chat: bool,
 }
 
-impl Model {
-    /// Runs one attempt; tokens go to `answer` as they come.
-    pub async fn run<D: Dial>(&self, dial: &D, target: &Target, answer: &mut Answer) -> End {
+impl CompletionRequest {
+    /// Runs one attempt and adds each token to `answer` as it arrives.
+    pub async fn run<D: Dial>(&self, dial: &D, params: &Parameters, answer: &mut Answer) -> End {
         let started = Instant::now();
-        let before = answer.tokens();
-        let mut first = None;
-        let outcome = match self.open(dial, target, before).await {
-            Ok(response) => self.receive(response, target, answer, &mut first).await,
+        let delivered_before = answer.tokens();
+        let mut first_token = None;
+        let outcome = match self.send_request(dial, params, delivered_before).await {
+            Ok(response) => {
+                self.receive(response, params, answer, &mut first_token)
+                    .await
+            }
             Err(outcome) => outcome,
         };
-        end(outcome, answer.tokens() - before, first, started)
+        attempt_end(
+            outcome,
+            answer.tokens() - delivered_before,
+            first_token,
+            started,
+        )
     }
 
-    async fn open<D: Dial>(
+    async fn send_request<D: Dial>(
         &self,
         dial: &D,
-        target: &Target,
-        delivered: u32,
+        params: &Parameters,
+        delivered_tokens: u32,
     ) -> Result<Response, Outcome> {
         let path = if self.chat {
             "/v1/chat/completions"
@@ -58,71 +67,74 @@
         };
         let request = |address| {
             let mut request = Request::new(Method::Post, client::url(address, path)?);
-            request.set_body(self.prompt.body(delivered));
+            request.set_body(self.prompt.body(delivered_tokens));
             request.set_content_type(mime::JSON);
             Ok(request)
         };
-        let streams = self.prompt.simple || self.prompt.stream;
-        let patience = if streams {
-            self.first_patience(target)
+        let streams = self.prompt.text_only || self.prompt.stream;
+        let limit = if streams {
+            self.first_token_timeout(params)
         } else {
-            target.patience
+            params.response_timeout
         };
-        send(dial, target, request, patience).await
+        send(dial, params, request, limit).await
     }
 
-    /// Silence to bear before the first token: a long prompt takes long to read.
-    fn first_patience(&self, target: &Target) -> Duration {
-        target.silence + PREFILL * self.prompt.tokens
+    /// Returns the longest wait for the first token: the prefill of a long prompt takes long.
+    fn first_token_timeout(&self, params: &Parameters) -> Duration {
+        params.idle_timeout + MAX_PREFILL_PER_TOKEN * self.prompt.tokens
     }
 
     async fn receive(
         &self,
         response: Response,
-        target: &Target,
+        params: &Parameters,
         answer: &mut Answer,
-        first: &mut Option<Instant>,
+        first_token: &mut Option<Instant>,
     ) -> Outcome {
-        if is_crossed(&response, target) {
+        if names_other_attempt(&response, params) {
             return Outcome::Crossed;
         }
         let status = u16::from(response.status());
         match status {
-            200 if self.prompt.simple || self.prompt.stream => {
-                self.relay(response, target, answer, first).await
+            200 if self.prompt.text_only || self.prompt.stream => {
+                self.relay(response, params, answer, first_token).await
+            }
+            200 => {
+                self.forward(response, params.response_timeout, answer)
+                    .await
             }
-            200 => self.pass(response, target.patience, answer).await,
             429 | 500..=599 => Outcome::Refused,
-            _ if vouches_not_run(&response) => Outcome::Refused,
-            _ => self.pass(response, target.silence, answer).await,
+            _ if confirms_not_run(&response) => Outcome::Refused,
+            _ => self.forward(response, params.idle_timeout, answer).await,
         }
     }
 
     async fn relay(
         &self,
         mut response: Response,
-        target: &Target,
+        params: &Parameters,
         answer: &mut Answer,
-        first: &mut Option<Instant>,
+        first_token: &mut Option<Instant>,
     ) -> Outcome {
-        let id = target.id();
+        let id = params.id();
         let mut events = async_sse::decode(response.take_body());
         loop {
-            let silence = if first.is_some() {
-                target.silence
+            let idle_timeout = if first_token.is_some() {
+                params.idle_timeout
             } else {
-                self.first_patience(target)
+                self.first_token_timeout(params)
             };
-            match timeout(silence, events.next()).await {
+            match timeout(idle_timeout, events.next()).await {
                 Err(_) => return Outcome::Silent,
                 Ok(None | Some(Err(_))) => return Outcome::Broken,
                 Ok(Some(Ok(Event::Retry(_)))) => {}
-                Ok(Some(Ok(Event::Message(message)))) if message.data() == DONE => {
+                Ok(Some(Ok(Event::Message(message)))) if message.data() == END_MARKER => {
                     answer.finish(&self.prompt.model, self.prompt.tokens).await;
                     return Outcome::Finished;
                 }
                 Ok(Some(Ok(Event::Message(message)))) => {
-                    first.get_or_insert_with(Instant::now);
+                    first_token.get_or_insert_with(Instant::now);
                     if answer.push_event(message.data(), &id).await.is_err() {
                         return Outcome::Cancelled;
                     }
@@ -131,25 +143,25 @@
         }
     }
 
-    /// Passes on an answer that is not read: one with several choices, or a caller's mistake.
-    async fn pass(
+    /// Forwards a response unparsed: one that is not reassembled, or an error of the caller.
+    async fn forward(
         &self,
         mut response: Response,
-        patience: Duration,
+        limit: Duration,
         answer: &mut Answer,
     ) -> Outcome {
-        let body = match timeout(patience, response.body_bytes()).await {
+        let body = match timeout(limit, response.body_bytes()).await {
             Err(_) => return Outcome::Silent,
             Ok(Err(_)) => return Outcome::Broken,
             Ok(Ok(body)) => body,
         };
         let status = u16::from(response.status());
-        if status != 200 && body.len() > MAX_ERROR {
+        if status != 200 && body.len() > MAX_ERROR_BODY_BYTES {
             return Outcome::Broken;
         }
         let content_type = "application/json".to_owned();
         match answer
-            .whole(Whole {
+            .send_full(FullResponse {
                 status,
                 content_type,
                 body,
--- a/crates/peridotdeck-router/src/attempt/plain.rs
+++ b/crates/peridotdeck-router/src/attempt/plain.rs
@@ -1,4 +1,4 @@
-//! A try of a call at a plain service.
+//! One attempt to run a request at an endpoint of a plain service.
 
 use std::time::Instant;
 
@@ -8,84 +8,91 @@
 use peridotdeck_http::client;
 use peridotdeck_wire::Outcome;
 
-use super::{Answer, Target, Whole, end, is_crossed, send, vouches_not_run};
+use super::{
+    Answer, FullResponse, Parameters, attempt_end, confirms_not_run, names_other_attempt, send,
+};
 use crate::dial::Dial;
 
-/// Longest answer in bytes that witnesses keep for a caller that sends again.
-const MAX_KEPT: usize = 4 * 1_024;
+/// Longest answer in bytes that witnesses store for a caller that repeats the request.
+const MAX_STORED_ANSWER_BYTES: usize = 4 * 1_024;
 
-/// Longest answer in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+/// Longest answer in bytes that is forwarded; a longer one fails the attempt.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// A call of a plain service.
+/// A request to a plain service.
 #[derive(Clone, Debug)]
-pub struct Plain {
-    /// HTTP method.
+pub struct PlainRequest {
+    /// HTTP method of the caller's request.
     pub method: Method,
-    /// Path and query below the service.
+    /// Path and query after the service's name.
     pub path: String,
-    /// Headers that are passed on.
+    /// Names and values of the forwarded headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body of the caller's request.
     pub body: Vec<u8>,
-    /// Whether running it twice is harmless.
-    pub repeatable: bool,
+    /// Whether the request may run twice without harm.
+    pub idempotent: bool,
 }
 
-impl Plain {
-    /// Runs one attempt.
-    pub async fn run<D: Dial>(&self, dial: &D, target: &Target, answer: &mut Answer) -> End {
+impl PlainRequest {
+    /// Runs one attempt and sends the response to the caller.
+    pub async fn run<D: Dial>(&self, dial: &D, params: &Parameters, answer: &mut Answer) -> End {
         let started = Instant::now();
-        match self.fetch(dial, target).await {
-            Ok(whole) => {
-                let first = Some(Instant::now());
-                let kept = keep(&whole);
-                // The call has run whether or not its caller is still there.
-                let delivered = answer.whole(whole).await.is_ok();
-                let finished = delivered || !self.repeatable;
+        match self.fetch(dial, params).await {
+            Ok(full) => {
+                let first_token = Some(Instant::now());
+                let stored = storable(&full);
+                // A request that must not run twice has run, even if the caller disconnected.
+                let delivered = answer.send_full(full).await.is_ok();
+                let finished = delivered || !self.idempotent;
                 let outcome = if finished {
                     Outcome::Finished
                 } else {
                     Outcome::Cancelled
                 };
                 End {
-                    answer: kept,
-                    ..end(outcome, 0, first, started)
+                    answer: stored,
+                    ..attempt_end(outcome, 0, first_token, started)
                 }
             }
-            Err(outcome) => end(outcome, 0, None, started),
+            Err(outcome) => attempt_end(outcome, 0, None, started),
         }
     }
 
-    async fn fetch<D: Dial>(&self, dial: &D, target: &Target) -> Result<Whole, Outcome> {
+    async fn fetch<D: Dial>(&self, dial: &D, params: &Parameters) -> Result<FullResponse, Outcome> {
         let request = |address| {
             let mut request = Request::new(self.method, client::url(address, &self.path)?);
             for (name, value) in &self.headers {
                 request.insert_header(name.as_str(), value.as_str());
             }
             request.set_body(self.body.clone());
-            if let Some((_, kind)) = self.headers.iter().find(|(name, _)| name == "content-type") {
-                request.insert_header("content-type", kind.as_str());
+            if let Some((_, content_type)) =
+                self.headers.iter().find(|(name, _)| name == "content-type")
+            {
+                request.insert_header("content-type", content_type.as_str());
             }
             Ok(request)
         };
-        let mut response = send(dial, target, request, target.patience).await?;
-        if is_crossed(&response, target) {
+        let mut response = send(dial, params, request, params.response_timeout).await?;
+        if names_other_attempt(&response, params) {
             return Err(Outcome::Crossed);
         }
         if response.status().is_server_error() || u16::from(response.status()) == 429 {
-            return Err(self.judge(&response));
+            return Err(self.classify_error(&response));
         }
-        match timeout(target.patience, response.body_bytes()).await {
+        match timeout(params.response_timeout, response.body_bytes()).await {
             Err(_) => Err(Outcome::Silent),
-            Ok(Ok(body)) if body.len() <= MAX_ANSWER => Ok(whole(&response, body)),
+            Ok(Ok(body)) if body.len() <= MAX_ANSWER_BYTES => Ok(full_response(&response, body)),
             Ok(_) => Err(Outcome::Broken),
         }
     }
 
-    /// An error proves nothing about a call unless the service vouches for it.
-    fn judge(&self, response: &Response) -> Outcome {
-        if self.repeatable || vouches_not_run(response) {
+    /// Returns the outcome of an error response.
+    ///
+    /// After an error, a request that must not run twice counts as possibly run, unless the
+    /// endpoint confirms that it did not run.
+    fn classify_error(&self, response: &Response) -> Outcome {
+        if self.idempotent || confirms_not_run(response) {
             Outcome::Refused
         } else {
             Outcome::Crossed
@@ -93,18 +100,19 @@
     }
 }
 
-fn whole(response: &Response, body: Vec<u8>) -> Whole {
+fn full_response(response: &Response, body: Vec<u8>) -> FullResponse {
     let content_type = response
         .header("content-type")
-        .map_or("application/octet-stream", |kind| kind.last().as_str());
-    Whole {
+        .map_or("application/octet-stream", |value| value.last().as_str());
+    FullResponse {
         status: response.status().into(),
         content_type: content_type.to_owned(),
         body,
     }
 }
 
-fn keep(whole: &Whole) -> Option<(u16, String)> {
-    let text = String::from_utf8(whole.body.clone()).ok()?;
-    (text.len() <= MAX_KEPT).then_some((whole.status, text))
+/// Returns the status and body to store at witnesses, if the body is short UTF-8 text.
+fn storable(full: &FullResponse) -> Option<(u16, String)> {
+    let text = String::from_utf8(full.body.clone()).ok()?;
+    (text.len() <= MAX_STORED_ANSWER_BYTES).then_some((full.status, text))
 }
--- a/crates/peridotdeck-router/src/callers.rs
+++ b/crates/peridotdeck-router/src/callers.rs
@@ -3,8 +3,8 @@
 //! - `POST /v1/chat/completions`, `POST /v1/completions`, `GET /v1/models`
 //! - any method on `/{service}/...` for plain services, with `Idempotency-Key`
 //!
-//! A request is read whole, under limits of size and time, before the core hears of it; so a slow
-//! or broken caller costs nobody else anything.
+//! A request is read completely, within limits of size and time, before it is submitted to the
+//! core; so a slow or broken caller does not affect other requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,78 +20,78 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
 use crate::{
-    api_error::Fault,
-    attempt::{Answer, Model, Plain},
+    api_error::ApiError,
+    attempt::{Answer, CompletionRequest, PlainRequest},
     dial::Dial,
     handle::Handle,
     metrics::Metrics,
     prompt::Prompt,
-    request_task::{Carrier, Job},
+    request_task::{EndpointRequest, RequestTask},
 };
 
-/// Header by which a caller chooses a class.
+/// Request header with the name of the class that the caller chooses.
 pub const CLASS_HEADER: &str = "x-peridotdeck-class";
 
-/// Header with the key of a call that may not be repeated.
-const KEY: &str = "idempotency-key";
+/// Request header with the idempotency key of a request that must not run twice.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Longest idempotency key in bytes.
-const MAX_KEY: usize = 255;
+/// Longest idempotency key in bytes that callers may send.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
-/// Headers that plain services receive.
-const PASSED: [&str; 5] = [
+/// Request headers that are forwarded to plain services.
+const FORWARDED_HEADERS: [&str; 5] = [
     "accept",
     "accept-language",
     "content-type",
-    KEY,
+    IDEMPOTENCY_KEY_HEADER,
     "user-agent",
 ];
 
-/// What every handler needs.
+/// State that the HTTP handlers share.
 #[derive(Debug)]
 pub struct Context<D> {
-    /// The way to the core.
+    /// Submits requests and events to the core.
     pub handle: Handle,
-    /// The way to endpoints.
+    /// Opens connections to endpoints.
     pub dial: D,
-    /// Series.
+    /// Metrics of the router.
     pub metrics: Arc<Metrics>,
-    /// Settings of the node.
+    /// Settings of this node.
     pub settings: Settings,
 }
 
-/// Shared by all requests.
+/// The shared state as `tide` hands it to each handler.
 pub type State<D> = Arc<Context<D>>;
 
-/// Adds the callers' routes.
+/// Adds the HTTP routes for callers.
 pub fn add_routes<D: Dial>(app: &mut tide::Server<State<D>>) {
     app.at("/v1/models").get(models::<D>);
     app.at("/v1/chat/completions")
-        .post(|request| complete::<D>(request, true));
+        .post(|request| completion::<D>(request, true));
     app.at("/v1/completions")
-        .post(|request| complete::<D>(request, false));
+        .post(|request| completion::<D>(request, false));
     app.at("/:service").all(plain::<D>);
     app.at("/:service/*").all(plain::<D>);
 }
 
-fn answer(result: Result<Response, Fault>) -> tide::Response {
-    let response = result.unwrap_or_else(|fault| {
+fn tide_response(result: Result<Response, ApiError>) -> tide::Response {
+    let response = result.unwrap_or_else(|error| {
         log::info!(
             "event=bad_request code={} status={}",
-            fault.code,
-            fault.status
+            error.code,
+            error.status
         );
-        fault.response()
+        error.response()
     });
     tide::Response::from_res(response)
 }
 
 async fn models<D: Dial>(request: Request<State<D>>) -> tide::Result {
-    Ok(answer(list_models(&request)))
+    Ok(tide_response(list_models(&request)))
 }
 
-fn list_models<D: Dial>(request: &Request<State<D>>) -> Result<Response, Fault> {
-    let snapshot = snapshot(request.state())?;
+fn list_models<D: Dial>(request: &Request<State<D>>) -> Result<Response, ApiError> {
+    let snapshot = current_snapshot(request.state())?;
     authenticate(request, &snapshot)?;
     let models = snapshot
         .services()
@@ -106,12 +106,12 @@
     Ok(response)
 }
 
-fn snapshot<D>(context: &Context<D>) -> Result<Arc<Snapshot>, Fault> {
-    context.handle.shared.snapshot().ok_or_else(|| Fault {
+fn current_snapshot<D>(context: &Context<D>) -> Result<Arc<Snapshot>, ApiError> {
+    context.handle.shared.snapshot().ok_or_else(|| ApiError {
         status: 503,
         kind: "server_error",
         retry_after: Some(Duration::from_secs(1)),
-        ..Fault::bad(
+        ..ApiError::new(
             503,
             "unconfigured",
             "this node has no configuration yet; try again",
@@ -128,50 +128,54 @@
 fn authenticate<'a, S>(
     request: &Request<S>,
     snapshot: &'a Snapshot,
-) -> Result<&'a Organisation, Fault> {
+) -> Result<&'a Organisation, ApiError> {
     let header = header(request, "authorization").unwrap_or_default();
     let key = header
         .strip_prefix("Bearer ")
         .or_else(|| header.strip_prefix("bearer "));
-    let missing = || Fault::bad(401, "missing_key", "send \"Authorization: Bearer <key>\"");
+    let missing = || ApiError::new(401, "missing_key", "send \"Authorization: Bearer <key>\"");
     let key = key.ok_or_else(missing)?;
     snapshot
         .holder(key)
-        .ok_or_else(|| Fault::bad(401, "invalid_key", "the bearer key is not known"))
+        .ok_or_else(|| ApiError::new(401, "invalid_key", "the bearer key is not known"))
 }
 
-/// Reads the body under the limits of size and time.
-async fn read_body<D: Dial>(request: &mut Request<State<D>>) -> Result<Vec<u8>, Fault> {
+/// Reads the body within the limits of size and time.
+async fn read_body<D: Dial>(request: &mut Request<State<D>>) -> Result<Vec<u8>, ApiError> {
     let settings = &request.state().settings;
     let limit = u64::from(settings.body_limit_kb) * 1_024;
-    let patience = Duration::from_millis(settings.body_timeout_ms.into());
+    let body_timeout = Duration::from_millis(settings.body_timeout_ms.into());
     let connection = request.ext::<Connection>().cloned();
     let mut body = Vec::new();
     let mut reader = request.take_body().take(limit + 1);
-    let fault = match timeout(patience, reader.read_to_end(&mut body)).await {
+    let error = match timeout(body_timeout, reader.read_to_end(&mut body)).await {
         Ok(Ok(_)) if body.len() as u64 <= limit => return Ok(body),
-        Ok(Ok(_)) => Fault::bad(
+        Ok(Ok(_)) => ApiError::new(
             413,
             "body_too_large",
             format!("the body exceeds {limit} bytes"),
         ),
-        Ok(Err(cause)) => Fault::bad(400, "broken_body", cause.to_string()),
-        Err(_) => Fault::bad(408, "body_timeout", "the body took too long"),
+        Ok(Err(cause)) => ApiError::new(400, "broken_body", cause.to_string()),
+        Err(_) => ApiError::new(408, "body_timeout", "the body took too long"),
     };
     if let Some(Connection(stream)) = connection {
-        // The rest of the body is of no use; the caller gets a moment to read the answer.
+        // The rest of the body is not needed; the caller gets one second to read the answer.
         task::spawn(async move {
             task::sleep(Duration::from_secs(1)).await;
             let _ = stream.shutdown(std::net::Shutdown::Both);
         });
     }
-    Err(fault)
+    Err(error)
 }
 
-fn class_of<S>(request: &Request<S>, snapshot: &Snapshot, default: &str) -> Result<Class, Fault> {
+fn requested_class<S>(
+    request: &Request<S>,
+    snapshot: &Snapshot,
+    default: &str,
+) -> Result<Class, ApiError> {
     let name = header(request, CLASS_HEADER).unwrap_or_else(|| default.to_owned());
     let unknown = || {
-        Fault::bad(
+        ApiError::new(
             400,
             "unknown_class",
             format!("class \"{name}\" is not configured"),
@@ -180,20 +184,20 @@
     snapshot.class(&name).cloned().ok_or_else(unknown)
 }
 
-async fn complete<D: Dial>(request: Request<State<D>>, chat: bool) -> tide::Result {
-    Ok(answer(try_complete(request, chat).await))
+async fn completion<D: Dial>(request: Request<State<D>>, chat: bool) -> tide::Result {
+    Ok(tide_response(try_completion(request, chat).await))
 }
 
-async fn try_complete<D: Dial>(
+async fn try_completion<D: Dial>(
     mut request: Request<State<D>>,
     chat: bool,
-) -> Result<Response, Fault> {
-    let snapshot = snapshot(request.state())?;
+) -> Result<Response, ApiError> {
+    let snapshot = current_snapshot(request.state())?;
     let organisation = authenticate(&request, &snapshot)?.name.clone();
     let body = read_body(&mut request).await?;
-    let prompt = Prompt::read(&body, chat)?;
+    let prompt = Prompt::parse(&body, chat)?;
     let unknown = || {
-        Fault::bad(
+        ApiError::new(
             404,
             "model_not_found",
             format!("model \"{}\" is not configured", prompt.model),
@@ -201,9 +205,9 @@
     };
     let service = snapshot
         .service(&prompt.model)
-        .filter(|each| each.kind == Kind::Model);
+        .filter(|service| service.kind == Kind::Model);
     let service = service.ok_or_else(unknown)?;
-    let class = class_of(&request, &snapshot, &service.class)?;
+    let class = requested_class(&request, &snapshot, &service.class)?;
     let resumes = service.endpoints.iter().all(|endpoint| endpoint.resumes);
     let call = Call {
         fingerprint: fingerprint(&organisation, &body),
@@ -214,15 +218,15 @@
         max_tokens: prompt.max_tokens,
         prefix: prompt.prefix,
         idempotent: true,
-        resumable: prompt.simple && resumes,
+        resumable: prompt.text_only && resumes,
         claim: None,
     };
     let streams = prompt.stream;
-    carry(
+    run_request(
         &request,
         call,
         class,
-        Job::Model(Model { prompt, chat }),
+        EndpointRequest::Completion(CompletionRequest { prompt, chat }),
         streams,
         chat,
     )
@@ -237,15 +241,15 @@
 }
 
 async fn plain<D: Dial>(request: Request<State<D>>) -> tide::Result {
-    Ok(answer(try_plain(request).await))
+    Ok(tide_response(try_plain(request).await))
 }
 
-async fn try_plain<D: Dial>(mut request: Request<State<D>>) -> Result<Response, Fault> {
-    let snapshot = snapshot(request.state())?;
+async fn try_plain<D: Dial>(mut request: Request<State<D>>) -> Result<Response, ApiError> {
+    let snapshot = current_snapshot(request.state())?;
     let organisation = authenticate(&request, &snapshot)?.name.clone();
     let name = request.param("service").unwrap_or_default().to_owned();
     let unknown = || {
-        Fault::bad(
+        ApiError::new(
             404,
             "service_not_found",
             format!("service \"{name}\" is not configured"),
@@ -257,7 +261,7 @@
         .ok_or_else(unknown)?;
     let path = path_below(&request, &name);
     let body = read_body(&mut request).await?;
-    let (class, repeatable) = rule(&request, service, &path, &snapshot)?;
+    let (class, idempotent) = class_and_idempotency(&request, service, &path, &snapshot)?;
     let mut call = Call {
         fingerprint: fingerprint(
             &organisation,
@@ -269,28 +273,36 @@
         prompt_tokens: 0,
         max_tokens: 0,
         prefix: 0,
-        idempotent: repeatable,
+        idempotent,
         resumable: false,
         claim: None,
     };
-    if !repeatable {
-        call.claim = claim(&request, &call)?;
+    if !idempotent {
+        call.claim = read_claim(&request, &call)?;
     }
-    let headers = PASSED
+    let headers = FORWARDED_HEADERS
         .iter()
         .filter_map(|&name| Some((name.to_owned(), header(&request, name)?)));
     let headers = headers.collect();
-    let job = Plain {
+    let endpoint_request = PlainRequest {
         method: request.method(),
         path,
         headers,
         body,
-        repeatable,
+        idempotent,
     };
-    carry(&request, call, class, Job::Plain(job), false, false).await
+    run_request(
+        &request,
+        call,
+        class,
+        EndpointRequest::Plain(endpoint_request),
+        false,
+        false,
+    )
+    .await
 }
 
-/// Path and query below the service's name.
+/// Returns the path and query after the service's name.
 fn path_below<S>(request: &Request<S>, service: &str) -> String {
     let path = request.url().path().strip_prefix('/').unwrap_or_default();
     let below = path.strip_prefix(service).unwrap_or_default();
@@ -301,32 +313,37 @@
     }
 }
 
-/// Class of a call and whether it may be repeated: by route, else by method.
-fn rule<S>(
+/// Returns the class of a request and whether it is idempotent.
+///
+/// The route decides; without a route, the service's default class and the HTTP method do.
+fn class_and_idempotency<S>(
     request: &Request<S>,
     service: &Service,
     path: &str,
     snapshot: &Snapshot,
-) -> Result<(Class, bool), Fault> {
-    let safe = matches!(
+) -> Result<(Class, bool), ApiError> {
+    let safe_method = matches!(
         request.method(),
         Method::Get | Method::Head | Method::Options
     );
     let route = service.route_of(path);
     let default = route.map_or(&service.class, |route| &route.class);
-    let class = class_of(request, snapshot, default)?;
-    Ok((class, route.map_or(safe, |route| route.repeatable)))
+    let class = requested_class(request, snapshot, default)?;
+    Ok((class, route.map_or(safe_method, |route| route.repeatable)))
 }
 
-/// The reservation of a call that may not be repeated; without a key, the router itself never
-/// repeats it, but cannot recognise a caller that does.
-fn claim<S>(request: &Request<S>, call: &Call) -> Result<Option<Claim>, Fault> {
-    let Some(key) = header(request, KEY) else {
+/// Returns the claim on the idempotency key of a request that must not run twice.
+///
+/// Without a key, the router never repeats the request itself, but cannot detect that the caller
+/// repeats it.
+fn read_claim<S>(request: &Request<S>, call: &Call) -> Result<Option<Claim>, ApiError> {
+    let Some(key) = header(request, IDEMPOTENCY_KEY_HEADER) else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > MAX_KEY {
-        let message = format!("\"Idempotency-Key\" must have 1 to {MAX_KEY} bytes");
-        return Err(Fault::bad(400, "bad_idempotency_key", message));
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
+        let message =
+            format!("\"Idempotency-Key\" must have 1 to {MAX_IDEMPOTENCY_KEY_BYTES} bytes");
+        return Err(ApiError::new(400, "bad_idempotency_key", message));
     }
     let scope = format!("{}\0{}\0{key}", call.organisation, call.service);
     let key = format!("{:032x}", xxh3_128(scope.as_bytes()));
@@ -336,40 +353,40 @@
     }))
 }
 
-/// Hands a request to the core and returns the response head once it is known.
-async fn carry<D: Dial>(
+/// Submits a request to the core and returns the response once its head is known.
+async fn run_request<D: Dial>(
     request: &Request<State<D>>,
     call: Call,
     class: Class,
-    job: Job,
+    endpoint_request: EndpointRequest,
     streams: bool,
     chat: bool,
-) -> Result<Response, Fault> {
+) -> Result<Response, ApiError> {
     let context = request.state();
-    let stopped = || Fault::bad(503, "leaving", "this node has stopped; try again");
-    let (id, orders) = context
+    let stopped = || ApiError::new(503, "leaving", "this node has stopped; try again");
+    let (id, commands) = context
         .handle
         .submit(call.clone())
         .await
         .ok_or_else(stopped)?;
-    let (head, response) = async_channel::bounded(1);
-    let carrier = Carrier {
+    let (response_sender, response) = async_channel::bounded(1);
+    let request_task = RequestTask {
         request: id,
         call,
         class,
-        job,
-        answer: Answer::new(id, head, streams, chat),
-        orders,
+        endpoint_request,
+        answer: Answer::new(id, response_sender, streams, chat),
+        commands,
         connection: request.ext::<Connection>().cloned(),
-        silence: Duration::from_millis(context.settings.silence_ms.into()),
+        idle_timeout: Duration::from_millis(context.settings.silence_ms.into()),
         handle: context.handle.clone(),
         dial: context.dial.clone(),
         metrics: Arc::clone(&context.metrics),
     };
-    task::spawn(carrier.run());
-    let lost = || Fault {
+    task::spawn(request_task.run());
+    let lost = || ApiError {
         verdict: peridotdeck_core::Verdict::MayHaveRun,
-        ..Fault::bad(502, "lost", "the request ended without an answer")
+        ..ApiError::new(502, "lost", "the request ended without an answer")
     };
     response.recv().await.map_err(|_| lost())
 }
--- a/crates/peridotdeck-router/src/dial.rs
+++ b/crates/peridotdeck-router/src/dial.rs
@@ -1,39 +1,46 @@
-//! How connections and datagrams leave the process.
+//! Outgoing connections and datagrams.
 
 use std::{net::SocketAddr, time::Duration};
 
 use async_std::net::TcpStream;
 use peridotdeck_http::client;
 
-/// Opens connections and decides the fate of datagrams.
+/// Opens connections, and delays or drops outgoing datagrams.
 ///
-/// The product uses [`Direct`]; experiments put path delays and cuts between data centres here,
-/// which a loopback network does not have.
+/// The router uses [`Direct`]. Experiments simulate delays and partitions between data centres
+/// here, because a loopback network has none.
 pub trait Dial: Clone + Send + Sync + 'static {
     /// Opens a connection to an address in a data centre.
+    ///
+    /// # Errors
+    /// [`client::Error::Unreachable`] if the connection cannot be opened.
     fn connect(
         &self,
-        place: &str,
+        data_centre: &str,
         address: SocketAddr,
     ) -> impl Future<Output = Result<TcpStream, client::Error>> + Send;
 
-    /// Returns the extra delay of a datagram to a data centre, or none if it is lost.
-    fn datagram_delay(&self, place: &str) -> Option<Duration>;
+    /// Returns the simulated delay of a datagram to a data centre, or `None` to drop it.
+    fn datagram_delay(&self, data_centre: &str) -> Option<Duration>;
 
-    /// Returns whether the platform can be reached.
+    /// Returns whether requests to the platform may be sent.
     fn reaches_platform(&self) -> bool;
 }
 
-/// The network as it is.
+/// The real network, without simulated delays or partitions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Direct;
 
 impl Dial for Direct {
-    async fn connect(&self, _place: &str, address: SocketAddr) -> Result<TcpStream, client::Error> {
+    async fn connect(
+        &self,
+        _data_centre: &str,
+        address: SocketAddr,
+    ) -> Result<TcpStream, client::Error> {
         client::connect(address).await
     }
 
-    fn datagram_delay(&self, _place: &str) -> Option<Duration> {
+    fn datagram_delay(&self, _data_centre: &str) -> Option<Duration> {
         Some(Duration::ZERO)
     }
 
--- a/crates/peridotdeck-router/src/prompt.rs
+++ b/crates/peridotdeck-router/src/prompt.rs
@@ -1,36 +1,41 @@
-//! What the router reads of a completion request.
+//! The properties that the router reads from a completion request.
 
 use serde::Deserialize;
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::api_error::Fault;
+use crate::api_error::ApiError;
 
-/// Bytes of text that count as one token.
+/// Bytes of text per token, to estimate the size of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of the prompt's beginning by which requests share a cached prefix.
+/// Leading bytes of a prompt that identify its prefix in endpoints' prefix caches.
 const PREFIX_BYTES: usize = 64;
 
-/// A completion request.
+/// A caller's completion request, parsed.
 #[derive(Clone, Debug)]
 pub struct Prompt {
     /// Name of the model.
     pub model: String,
-    /// Whether the caller wants the answer as a stream.
+    /// Whether the caller requests a streamed answer.
     pub stream: bool,
-    /// Largest output in tokens; 0 if the caller sets none.
+    /// Largest output in tokens; 0 if the caller sets no limit.
     pub max_tokens: u32,
-    /// Prompt size in tokens, estimated.
+    /// Prompt size in tokens, estimated from its size in bytes.
     pub tokens: u32,
-    /// Digest of the prompt's beginning.
+    /// Digest of the prompt's prefix.
     pub prefix: u64,
-    /// Whether the router may read the answer token by token and put it together again.
-    pub simple: bool,
-    /// The request as the caller sent it.
-    pub value: Value,
+    /// Whether the answer is a single text: one choice, without tools or log probabilities.
+    ///
+    /// The router streams such an answer from the endpoint and can reassemble it from its tokens.
+    pub text_only: bool,
+    /// The request body as the caller sent it.
+    pub json: Value,
 }
 
+/// The properties that the router reads; all others pass through unchanged.
+///
+/// Callers see this type's name in messages about JSON that does not fit.
 #[derive(Deserialize)]
 struct Known {
     model: String,
@@ -46,21 +51,22 @@
 }
 
 impl Prompt {
-    /// Reads a request body.
+    /// Parses a request body.
     ///
     /// # Errors
-    /// A 400 that names what is wrong.
-    pub fn read(body: &[u8], chat: bool) -> Result<Self, Fault> {
-        let bad = |message: String| Fault::bad(400, "invalid_json", message);
-        let value: Value = serde_json::from_slice(body).map_err(|cause| bad(cause.to_string()))?;
-        let known = Known::deserialize(&value).map_err(|cause| bad(cause.to_string()))?;
-        let text = known.text(chat)?;
-        let simple = known.n.unwrap_or(1) == 1
+    /// Status 400 if the body is not JSON or a property is missing or has the wrong type.
+    pub fn parse(body: &[u8], chat: bool) -> Result<Self, ApiError> {
+        let invalid = |message: String| ApiError::new(400, "invalid_json", message);
+        let json: Value =
+            serde_json::from_slice(body).map_err(|cause| invalid(cause.to_string()))?;
+        let known = Known::deserialize(&json).map_err(|cause| invalid(cause.to_string()))?;
+        let text = known.prompt_text(chat)?;
+        let text_only = known.n.unwrap_or(1) == 1
             && known.tools.as_ref().is_none_or(Value::is_null)
             && known
                 .logprobs
                 .as_ref()
-                .is_none_or(|each| each.is_null() || each == false);
+                .is_none_or(|value| value.is_null() || value == false);
         Ok(Self {
             model: known.model,
             stream: known.stream,
@@ -70,44 +76,46 @@
                 .unwrap_or(0),
             tokens: text.len().div_ceil(BYTES_PER_TOKEN) as u32,
             prefix: xxh3_64(&text.as_bytes()[..text.len().min(PREFIX_BYTES)]),
-            simple,
-            value,
+            text_only,
+            json,
         })
     }
 
-    /// Returns the body to send to an endpoint, going on after `delivered` tokens.
+    /// Returns the body to send to an endpoint.
+    ///
+    /// If `delivered_tokens` is not 0, the endpoint resumes the answer after that many tokens.
     #[must_use]
-    pub fn body(&self, delivered: u32) -> String {
-        let mut value = self.value.clone();
-        if self.simple {
-            value["stream"] = Value::Bool(true);
+    pub fn body(&self, delivered_tokens: u32) -> String {
+        let mut json = self.json.clone();
+        if self.text_only {
+            json["stream"] = Value::Bool(true);
         }
-        if delivered > 0 {
-            value["resume_from"] = delivered.into();
+        if delivered_tokens > 0 {
+            json["resume_from"] = delivered_tokens.into();
         }
-        value.to_string()
+        json.to_string()
     }
 }
 
 impl Known {
-    fn text(&self, chat: bool) -> Result<String, Fault> {
-        let bad = |message: &str| Err(Fault::bad(400, "invalid_request", message));
+    fn prompt_text(&self, chat: bool) -> Result<String, ApiError> {
+        let invalid = |message: &str| Err(ApiError::new(400, "invalid_request", message));
         if !chat {
             return match &self.prompt {
                 Some(Value::String(text)) => Ok(text.clone()),
                 Some(Value::Array(parts)) => Ok(parts.iter().filter_map(Value::as_str).collect()),
-                _ => bad("\"prompt\" must be a string or a list of strings"),
+                _ => invalid("\"prompt\" must be a string or a list of strings"),
             };
         }
         match &self.messages {
-            Some(messages) if !messages.is_empty() => Ok(messages.iter().map(content).collect()),
-            _ => bad("\"messages\" must be a list with at least one message"),
+            Some(messages) if !messages.is_empty() => Ok(messages.iter().map(text_of).collect()),
+            _ => invalid("\"messages\" must be a list with at least one message"),
         }
     }
 }
 
-/// Text of a message, whose content may be a string or a list of parts.
-fn content(message: &Value) -> String {
+/// Returns the text of a message, whose content may be a string or a list of parts.
+fn text_of(message: &Value) -> String {
     match &message["content"] {
         Value::String(text) => text.clone(),
         Value::Array(parts) => parts
--- a/crates/peridotdeck-router/src/request_task.rs
+++ b/crates/peridotdeck-router/src/request_task.rs
@@ -1,7 +1,7 @@
-//! The task that carries one request from its arrival to its end.
+//! The task of one request, from its arrival to its end.
 //!
-//! It obeys the core's orders, runs attempts, and notices when the caller goes away. It outlives
-//! the caller's connection, because a call that may not be repeated is seen through.
+//! It executes the core's commands, runs attempts and detects that the caller disconnects. It
+//! outlives the caller's connection, because a request that must not run twice is completed.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -13,81 +13,88 @@
 use peridotdeck_wire::Outcome;
 
 use crate::{
-    api_error::Fault,
-    attempt::{Answer, Model, Plain, Target, Whole},
+    api_error::ApiError,
+    attempt::{Answer, CompletionRequest, FullResponse, Parameters, PlainRequest},
     dial::Dial,
     handle::{Command, Handle},
     metrics::Metrics,
 };
 
-/// Longest time to the head of an answer that comes whole, if its class sets no target.
-const PATIENCE: Duration = Duration::from_secs(600);
+/// Upper bound of the response timeout, unless the idle timeout is longer.
+///
+/// It also applies to a class without a latency target for whole answers.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Part of the patience that the class's target for whole answers gives.
-const PATIENCE_FACTOR: u32 = 10;
+/// Response timeout as a multiple of the class's latency target for whole answers.
+const RESPONSE_TIMEOUT_FACTOR: u32 = 10;
 
-/// What is sent to endpoints.
+/// The request that is sent to endpoints.
 #[derive(Clone, Debug)]
-pub enum Job {
-    /// A completion.
-    Model(Model),
-    /// A call of a plain service.
-    Plain(Plain),
+pub enum EndpointRequest {
+    /// A completion request to a model service.
+    Completion(CompletionRequest),
+    /// A request to a plain service.
+    Plain(PlainRequest),
 }
 
-/// One request under way.
+/// State of the task that runs one request.
 #[derive(Debug)]
-pub struct Carrier<D> {
-    /// The request.
+pub struct RequestTask<D> {
+    /// Id of the request.
     pub request: id::Request,
-    /// What the core knows of it.
+    /// Properties of the request that the core decides by.
     pub call: Call,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// What is sent to endpoints.
-    pub job: Job,
-    /// The answer so far.
+    /// The request that is sent to endpoints.
+    pub endpoint_request: EndpointRequest,
+    /// The answer to the caller so far.
     pub answer: Answer,
-    /// Orders of the core.
-    pub orders: Receiver<Command>,
-    /// The caller's connection, until it is found closed.
+    /// Commands of the core; the channel closes when the request has ended.
+    pub commands: Receiver<Command>,
+    /// The caller's connection; `None` once it is closed.
     pub connection: Option<Connection>,
-    /// Longest silence of an endpoint.
-    pub silence: Duration,
-    /// The way to the core.
+    /// Longest wait for the next event of a stream; after it, the endpoint counts as dead.
+    pub idle_timeout: Duration,
+    /// Sends events to the core.
     pub handle: Handle,
-    /// The way to endpoints.
+    /// Opens connections to endpoints.
     pub dial: D,
-    /// Series.
+    /// Metrics of the router.
     pub metrics: Arc<Metrics>,
 }
 
-enum Step<T> {
-    Done(T),
-    Order(Option<Command>),
-    Gone,
+/// An input that the task waits for.
+enum Signal<T> {
+    AttemptEnded(T),
+    Command(Option<Command>),
+    Disconnected,
 }
 
-impl<D: Dial> Carrier<D> {
-    /// Carries the request to its end.
+impl<D: Dial> RequestTask<D> {
+    /// Runs the request until it ends.
     pub async fn run(mut self) {
         loop {
-            let next = or(order(&self.orders), gone(self.connection.as_ref())).await;
-            match next {
-                Step::Gone => self.abandon().await,
-                Step::Order(None) | Step::Done(()) => return,
-                Step::Order(Some(Command::Stop { .. })) => {}
-                Step::Order(Some(Command::Refuse(refusal))) => {
+            let signal = or(
+                next_command(&self.commands),
+                wait_for_disconnect(self.connection.as_ref()),
+            )
+            .await;
+            match signal {
+                Signal::Disconnected => self.report_disconnect().await,
+                Signal::Command(None) | Signal::AttemptEnded(()) => return,
+                Signal::Command(Some(Command::Stop { .. })) => {}
+                Signal::Command(Some(Command::Refuse(refusal))) => {
                     self.metrics
                         .count_refusal(&self.call.class, &self.call.organisation, refusal);
-                    self.answer.refuse(&Fault::from(refusal)).await;
+                    self.answer.send_error(&ApiError::from(refusal)).await;
                     return;
                 }
-                Step::Order(Some(Command::Replay { status, body })) => {
+                Signal::Command(Some(Command::Replay { status, body })) => {
                     let content_type = "application/json".to_owned();
                     let _ = self
                         .answer
-                        .whole(Whole {
+                        .send_full(FullResponse {
                             status,
                             content_type,
                             body: body.into_bytes(),
@@ -95,8 +102,8 @@
                         .await;
                     return;
                 }
-                Step::Order(Some(Command::Run { attempt, endpoint })) => {
-                    if self.attempt(attempt, endpoint).await {
+                Signal::Command(Some(Command::Run { attempt, endpoint })) => {
+                    if self.run_attempt(attempt, endpoint).await {
                         return;
                     }
                 }
@@ -104,7 +111,7 @@
         }
     }
 
-    async fn abandon(&mut self) {
+    async fn report_disconnect(&mut self) {
         self.connection = None;
         self.handle
             .send(Event::Abandoned {
@@ -113,26 +120,34 @@
             .await;
     }
 
-    /// Runs one attempt and returns whether the request has ended with it.
-    async fn attempt(&mut self, attempt: id::Attempt, endpoint: Endpoint) -> bool {
-        let target = self.target(attempt, endpoint);
-        let before = self.answer.tokens();
+    /// Runs one attempt and returns whether the request ends with it.
+    async fn run_attempt(&mut self, attempt: id::Attempt, endpoint: Endpoint) -> bool {
+        let params = self.parameters(attempt, endpoint);
+        let delivered_before = self.answer.tokens();
         let started = std::time::Instant::now();
         let mut stopped = false;
         let end = {
-            let mut work = pin!(run(&self.job, &self.dial, &target, &mut self.answer));
+            let mut execution = pin!(send_to_endpoint(
+                &self.endpoint_request,
+                &self.dial,
+                &params,
+                &mut self.answer
+            ));
             loop {
-                let attempt_ends = async { Step::Done(work.as_mut().await) };
-                let interrupted = or(order(&self.orders), gone(self.connection.as_ref()));
-                match or(attempt_ends, interrupted).await {
-                    Step::Done(end) => break Some(end),
-                    Step::Order(Some(Command::Stop { attempt: each })) if each == attempt => {
+                let attempt_ends = async { Signal::AttemptEnded(execution.as_mut().await) };
+                let interruption = or(
+                    next_command(&self.commands),
+                    wait_for_disconnect(self.connection.as_ref()),
+                );
+                match or(attempt_ends, interruption).await {
+                    Signal::AttemptEnded(end) => break Some(end),
+                    Signal::Command(Some(Command::Stop { attempt: id })) if id == attempt => {
                         stopped = true;
                         break None;
                     }
-                    Step::Order(Some(_)) => {}
-                    Step::Order(None) => break None,
-                    Step::Gone => {
+                    Signal::Command(Some(_)) => {}
+                    Signal::Command(None) => break None,
+                    Signal::Disconnected => {
                         self.connection = None;
                         self.handle
                             .send(Event::Abandoned {
@@ -151,38 +166,39 @@
         };
         let end = end.unwrap_or_else(|| End {
             outcome,
-            tokens: self.answer.tokens() - before,
+            tokens: self.answer.tokens() - delivered_before,
             time_to_first_token: None,
             duration: started.elapsed(),
             answer: None,
         });
-        self.conclude(attempt, end).await
+        self.report_end(attempt, end).await
     }
 
-    fn target(&self, attempt: id::Attempt, endpoint: Endpoint) -> Target {
-        let target = Duration::from_millis(self.class.whole_ms.into()) * PATIENCE_FACTOR;
-        let patience = if target.is_zero() {
-            PATIENCE
+    fn parameters(&self, attempt: id::Attempt, endpoint: Endpoint) -> Parameters {
+        let limit = Duration::from_millis(self.class.whole_ms.into()) * RESPONSE_TIMEOUT_FACTOR;
+        let response_timeout = if limit.is_zero() {
+            MAX_RESPONSE_TIMEOUT
         } else {
-            target.min(PATIENCE)
+            limit.min(MAX_RESPONSE_TIMEOUT)
         };
-        Target {
+        Parameters {
             attempt,
             endpoint,
             class: self.class.name.clone(),
             tier: self.class.tier,
-            silence: self.silence,
-            patience: patience.max(self.silence),
+            idle_timeout: self.idle_timeout,
+            response_timeout: response_timeout.max(self.idle_timeout),
         }
     }
 
-    async fn conclude(&mut self, attempt: id::Attempt, end: End) -> bool {
+    /// Reports the end of an attempt and returns whether the request ends with it.
+    async fn report_end(&mut self, attempt: id::Attempt, end: End) -> bool {
         let class = &self.class;
         let (request, outcome) = (self.request, end.outcome);
         self.metrics.count_attempt(&class.name, outcome, end.tokens);
-        let sample = self
-            .answer
-            .sample(class.first_token_ms, class.token_gap_ms, class.whole_ms);
+        let latencies =
+            self.answer
+                .latencies(class.first_token_ms, class.token_gap_ms, class.whole_ms);
         log::info!(
             "event=attempt_ended request={request:016x} attempt={attempt:016x} outcome={outcome} tokens={} ms={}",
             end.tokens,
@@ -191,33 +207,38 @@
         self.handle.send(Event::Ended { attempt, end }).await;
         if outcome == Outcome::Finished {
             self.metrics
-                .count_answer(&self.call.class, &self.call.organisation, sample);
+                .count_answer(&self.call.class, &self.call.organisation, latencies);
             log::info!(
                 "event=answered request={request:016x} class={} attained={} ms={}",
                 self.call.class,
-                sample.meets_targets,
-                sample.duration.as_millis()
+                latencies.meets_targets,
+                latencies.duration.as_millis()
             );
         }
         matches!(outcome, Outcome::Finished | Outcome::Cancelled)
     }
 }
 
-async fn run<D: Dial>(job: &Job, dial: &D, target: &Target, answer: &mut Answer) -> End {
-    match job {
-        Job::Model(model) => model.run(dial, target, answer).await,
-        Job::Plain(plain) => plain.run(dial, target, answer).await,
+async fn send_to_endpoint<D: Dial>(
+    request: &EndpointRequest,
+    dial: &D,
+    params: &Parameters,
+    answer: &mut Answer,
+) -> End {
+    match request {
+        EndpointRequest::Completion(completion) => completion.run(dial, params, answer).await,
+        EndpointRequest::Plain(plain) => plain.run(dial, params, answer).await,
     }
 }
 
-async fn order<T>(orders: &Receiver<Command>) -> Step<T> {
-    Step::Order(orders.recv().await.ok())
+async fn next_command<T>(commands: &Receiver<Command>) -> Signal<T> {
+    Signal::Command(commands.recv().await.ok())
 }
 
-async fn gone<T>(connection: Option<&Connection>) -> Step<T> {
+async fn wait_for_disconnect<T>(connection: Option<&Connection>) -> Signal<T> {
     match connection {
         Some(connection) => connection.closed().await,
         None => std::future::pending().await,
     }
-    Step::Gone
+    Signal::Disconnected
 }
