--- a/crates/peridotdeck-router/src/attempt.rs
+++ b/crates/peridotdeck-router/src/attempt.rs
@@ -1,7 +1,8 @@
 //! One attempt to run a request at an endpoint.
 //!
-//! A response that carries the id of another attempt is rejected, and a stream is complete only
-//! after its end marker. An endpoint that sends nothing for too long counts as a dead connection.
+//! A response counts only on the connection that sent its request, and is rejected if it carries
+//! the id of another attempt. A stream is complete only after its end marker. A connection on which
+//! nothing arrives for too long counts as dead.
 
 mod answer;
 mod completion;
--- a/crates/peridotdeck-router/src/attempt/answer.rs
+++ b/crates/peridotdeck-router/src/attempt/answer.rs
@@ -21,7 +21,7 @@
     pub body: Vec<u8>,
 }
 
-/// The caller can receive no more: it disconnected or already has a response.
+/// The caller can receive no more, because it disconnected or already has a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnected;
 
--- a/crates/peridotdeck-router/src/prompt.rs
+++ b/crates/peridotdeck-router/src/prompt.rs
@@ -54,7 +54,8 @@
     /// Parses a request body.
     ///
     /// # Errors
-    /// Status 400 if the body is not JSON or a property is missing or has the wrong type.
+    /// Status 400 with the reason if the body is not JSON, or a property is missing or has the
+    /// wrong type.
     pub fn parse(body: &[u8], chat: bool) -> Result<Self, ApiError> {
         let invalid = |message: String| ApiError::new(400, "invalid_json", message);
         let json: Value =
