--- /dev/null
+++ b/crates/peridotdeck-router/src/attempt/completion.rs
@@ -0,0 +1,175 @@
+//! One attempt to run a completion request at a model engine.
+
+use std::time::{Duration, Instant};
+
+use async_sse::Event;
+use async_std::future::timeout;
+use futures_lite::StreamExt;
+use http_types::{Method, Request, Response, mime};
+use peridotdeck_core::event::End;
+use peridotdeck_http::client;
+use peridotdeck_wire::Outcome;
+
+use super::{
+    Answer, FullResponse, Parameters, attempt_end, confirms_not_run, names_other_attempt, send,
+};
+use crate::{dial::Dial, prompt::Prompt};
+
+/// Longest error body in bytes that is forwarded to the caller; a longer one fails the attempt.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1_024;
+
+/// Longest prefill time per prompt token; even a slow engine needs only a part of it.
+const MAX_PREFILL_PER_TOKEN: Duration = Duration::from_millis(1);
+
+/// Data of the event that marks the end of a stream.
+const END_MARKER: &[u8] = b"[DONE]";
+
+/// A completion request to send to a model engine.
+#[derive(Clone, Debug)]
+pub struct CompletionRequest {
+    /// The caller's request body and the properties read from it.
+    pub prompt: Prompt,
+    /// Whether the request uses the chat interface.
+    pub chat: bool,
+}
+
+impl CompletionRequest {
+    /// Runs one attempt and adds each token to `answer` as it arrives.
+    pub async fn run<D: Dial>(&self, dial: &D, params: &Parameters, answer: &mut Answer) -> End {
+        let started = Instant::now();
+        let delivered_before = answer.tokens();
+        let mut first_token = None;
+        let outcome = match self.send_request(dial, params, delivered_before).await {
+            Ok(response) => {
+                self.receive(response, params, answer, &mut first_token)
+                    .await
+            }
+            Err(outcome) => outcome,
+        };
+        attempt_end(
+            outcome,
+            answer.tokens() - delivered_before,
+            first_token,
+            started,
+        )
+    }
+
+    async fn send_request<D: Dial>(
+        &self,
+        dial: &D,
+        params: &Parameters,
+        delivered_tokens: u32,
+    ) -> Result<Response, Outcome> {
+        let path = if self.chat {
+            "/v1/chat/completions"
+        } else {
+            "/v1/completions"
+        };
+        let request = |address| {
+            let mut request = Request::new(Method::Post, client::url(address, path)?);
+            request.set_body(self.prompt.body(delivered_tokens));
+            request.set_content_type(mime::JSON);
+            Ok(request)
+        };
+        let streams = self.prompt.text_only || self.prompt.stream;
+        let limit = if streams {
+            self.first_token_timeout(params)
+        } else {
+            params.response_timeout
+        };
+        send(dial, params, request, limit).await
+    }
+
+    /// Returns the longest wait for the first token: the prefill of a long prompt takes long.
+    fn first_token_timeout(&self, params: &Parameters) -> Duration {
+        params.idle_timeout + MAX_PREFILL_PER_TOKEN * self.prompt.tokens
+    }
+
+    async fn receive(
+        &self,
+        response: Response,
+        params: &Parameters,
+        answer: &mut Answer,
+        first_token: &mut Option<Instant>,
+    ) -> Outcome {
+        if names_other_attempt(&response, params) {
+            return Outcome::Crossed;
+        }
+        let status = u16::from(response.status());
+        match status {
+            200 if self.prompt.text_only || self.prompt.stream => {
+                self.relay(response, params, answer, first_token).await
+            }
+            200 => {
+                self.forward(response, params.response_timeout, answer)
+                    .await
+            }
+            429 | 500..=599 => Outcome::Refused,
+            _ if confirms_not_run(&response) => Outcome::Refused,
+            _ => self.forward(response, params.idle_timeout, answer).await,
+        }
+    }
+
+    async fn relay(
+        &self,
+        mut response: Response,
+        params: &Parameters,
+        answer: &mut Answer,
+        first_token: &mut Option<Instant>,
+    ) -> Outcome {
+        let id = params.id();
+        let mut events = async_sse::decode(response.take_body());
+        loop {
+            let idle_timeout = if first_token.is_some() {
+                params.idle_timeout
+            } else {
+                self.first_token_timeout(params)
+            };
+            match timeout(idle_timeout, events.next()).await {
+                Err(_) => return Outcome::Silent,
+                Ok(None | Some(Err(_))) => return Outcome::Broken,
+                Ok(Some(Ok(Event::Retry(_)))) => {}
+                Ok(Some(Ok(Event::Message(message)))) if message.data() == END_MARKER => {
+                    answer.finish(&self.prompt.model, self.prompt.tokens).await;
+                    return Outcome::Finished;
+                }
+                Ok(Some(Ok(Event::Message(message)))) => {
+                    first_token.get_or_insert_with(Instant::now);
+                    if answer.push_event(message.data(), &id).await.is_err() {
+                        return Outcome::Cancelled;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Forwards a response unparsed: one that is not reassembled, or an error of the caller.
+    async fn forward(
+        &self,
+        mut response: Response,
+        limit: Duration,
+        answer: &mut Answer,
+    ) -> Outcome {
+        let body = match timeout(limit, response.body_bytes()).await {
+            Err(_) => return Outcome::Silent,
+            Ok(Err(_)) => return Outcome::Broken,
+            Ok(Ok(body)) => body,
+        };
+        let status = u16::from(response.status());
+        if status != 200 && body.len() > MAX_ERROR_BODY_BYTES {
+            return Outcome::Broken;
+        }
+        let content_type = "application/json".to_owned();
+        match answer
+            .send_full(FullResponse {
+                status,
+                content_type,
+                body,
+            })
+            .await
+        {
+            Ok(()) => Outcome::Finished,
+            Err(_) => Outcome::Cancelled,
+        }
+    }
+}
--- a/crates/peridotdeck-router/src/lib.rs
+++ b/crates/peridotdeck-router/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`driver`]: one task that owns the [`peridotdeck_core::Node`] and carries out its actions;
 //!   [`handle`]: the way to it;
-//! - [`callers`]: the HTTP interface for callers, and [`carrier`]: the task of one request;
+//! - [`callers`]: the HTTP interface for callers, and [`request_task`]: the task of one request;
 //! - [`attempt`]: one try at an endpoint, streamed or whole;
 //! - [`peers`]: datagrams and JSON-RPC between routers;
 //! - [`platform`]: watches of the configuration service and the VM list;
@@ -11,13 +11,12 @@
 //! [`Router::start`] runs them all in the calling process, which is how the binary, the tests and
 //! the load tool use the same code. See `docs/ARCHITECTURE.md`.
 
+pub mod api_error;
 pub mod attempt;
 pub mod callers;
-pub mod carrier;
 pub mod clock;
 pub mod dial;
 pub mod driver;
-pub mod fault;
 pub mod handle;
 pub mod metrics;
 pub mod operators;
@@ -25,6 +24,7 @@
 pub mod peers;
 pub mod platform;
 pub mod prompt;
+pub mod request_task;
 pub mod router;
 
 pub use dial::{Dial, Direct};
--- a/crates/peridotdeck-router/src/router.rs
+++ b/crates/peridotdeck-router/src/router.rs
@@ -179,7 +179,7 @@
         self.handle.send(Event::Drain).await;
         let started = Instant::now();
         while started.elapsed() < self.drain {
-            let idle = self.handle.look(|node, _| node.is_idle()).await;
+            let idle = self.handle.inspect(|node, _| node.is_idle()).await;
             if idle != Some(false) {
                 log::info!("event=drained ms={}", started.elapsed().as_millis());
                 return true;
@@ -244,15 +244,15 @@
         head_timeout: Duration::from_millis(settings.body_timeout_ms.into()),
         max_connections: settings.open_connections as usize,
     };
-    let desk = callers::Desk {
+    let context = callers::Context {
         handle: handle.clone(),
         dial,
         metrics: Arc::clone(metrics),
         settings,
     };
-    let mut app = tide::with_state(Arc::new(desk));
-    operators::route(&mut app);
-    callers::route(&mut app);
+    let mut app = tide::with_state(Arc::new(context));
+    operators::add_routes(&mut app);
+    callers::add_routes(&mut app);
     let respond = move |request| {
         let app = app.clone();
         async move { app.respond::<_, http_types::Response>(request).await }
