--- a/crates/peridotdeck-router/benches/latency.rs
+++ b/crates/peridotdeck-router/benches/latency.rs
@@ -1,4 +1,4 @@
-//! Time to the first token of an idle engine, asked directly and through a router.
+//! Benchmark of the time to first token of an idle engine, directly and through a router.
 
 #[path = "../tests/testsuite/site.rs"]
 #[allow(
@@ -16,13 +16,16 @@
 use futures_lite::io::AsyncReadExt;
 use peridotdeck_fake::engine::Setting;
 
-async fn first_token(address: SocketAddr) {
+async fn read_first_token(address: SocketAddr) {
     let mut response = site::send(address, site::chat(address, "hello about 2 words", true)).await;
     let mut byte = [0];
-    response.read_exact(&mut byte).await.expect("a token comes");
+    response
+        .read_exact(&mut byte)
+        .await
+        .expect("a token arrives");
 }
 
-fn latency(criterion: &mut Criterion) {
+fn bench_latency(criterion: &mut Criterion) {
     let setting = Setting {
         step_us: 0,
         prefill_us: 0,
@@ -32,16 +35,16 @@
     let (engine, router) = (running.engines[0].address(), running.address());
     let mut group = criterion.benchmark_group("first_token");
     group.bench_function("direct", |bencher| {
-        bencher.iter(|| block_on(first_token(engine)));
+        bencher.iter(|| block_on(read_first_token(engine)));
     });
     group.bench_function("through_router", |bencher| {
-        bencher.iter(|| block_on(first_token(router)));
+        bencher.iter(|| block_on(read_first_token(router)));
     });
     group.finish();
 }
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    latency(&mut criterion);
+    bench_latency(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/peridotdeck-router/benches/relay.rs
+++ b/crates/peridotdeck-router/benches/relay.rs
@@ -1,13 +1,16 @@
-//! Stream chunks relayed a second on one core: decode, rename, hand over.
+//! Benchmark of relaying stream chunks on one core.
+//!
+//! Each chunk is decoded, gets the caller's request id and is sent to the response body.
 
 use async_std::task::block_on;
 use criterion::{Criterion, Throughput};
 use futures_lite::{StreamExt, io::Cursor};
 use peridotdeck_router::attempt::Answer;
 
+/// Chunks of the relayed stream.
 const CHUNKS: u64 = 10_000;
 
-fn stream() -> Vec<u8> {
+fn build_stream() -> Vec<u8> {
     let chunk = r#"data: {"id":"00000000000000aa","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}"#;
     format!("{chunk}\n\n").repeat(CHUNKS as usize).into_bytes()
 }
@@ -22,7 +25,7 @@
                 answer
                     .event(message.data(), "00000000000000aa")
                     .await
-                    .expect("the reader stays");
+                    .expect("the reader stays connected");
             }
         }
         let tokens = answer.tokens();
@@ -30,18 +33,19 @@
         tokens
     };
     let consume = async {
-        let mut response: http_types::Response = response.recv().await.expect("a head comes");
+        let mut response: http_types::Response =
+            response.recv().await.expect("a response head arrives");
         response
             .body_bytes()
             .await
-            .expect("the body ends well")
+            .expect("the body ends without an error")
             .len()
     };
     futures_lite::future::zip(produce, consume).await.0
 }
 
-fn chunks(criterion: &mut Criterion) {
-    let bytes = stream();
+fn bench_chunks(criterion: &mut Criterion) {
+    let bytes = build_stream();
     let mut group = criterion.benchmark_group("relay");
     group
         .throughput(Throughput::Elements(CHUNKS))
@@ -52,6 +56,6 @@
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    chunks(&mut criterion);
+    bench_chunks(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/peridotdeck-router/benches/streams.rs
+++ b/crates/peridotdeck-router/benches/streams.rs
@@ -1,6 +1,7 @@
-//! Memory of 2,000 open streams: the same process with the streams opened directly at the engine
-//! and then through a router; the difference is the router's. And memory of the latency series of
-//! 600 customers in 5 classes.
+//! Benchmark of the memory of 2,000 open streams and of the latency series.
+//!
+//! One process opens the streams directly at the engine and then through a router; the difference
+//! is the router's memory. The latency series are those of 600 organisations in 5 classes.
 
 #[path = "../tests/testsuite/site.rs"]
 #[allow(
@@ -19,12 +20,13 @@
 use peridotdeck_fake::engine::Setting;
 use peridotdeck_router::metrics::{Metrics, Sample};
 
+/// Streams opened directly, and again through the router.
 const STREAMS: usize = 2_000;
 
-/// Streams opened at one time: the listeners' backlog holds 128 connections.
+/// Streams opened at the same time; the listeners' backlog holds 128 connections.
 const BATCH: usize = 50;
 
-/// Resident memory of this process in kilobytes.
+/// Returns the resident memory of this process in kilobytes, 0 if it cannot be read.
 fn resident_kb() -> usize {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -32,18 +34,21 @@
         .unwrap_or(0)
 }
 
-async fn open(address: SocketAddr, salt: &'static str) -> Vec<Response> {
-    let one = move |index: usize| async move {
+async fn open_streams(address: SocketAddr, salt: &'static str) -> Vec<Response> {
+    let open_one = move |index: usize| async move {
         let prompt = format!("{salt} {index} about 1000000 words");
         let mut response = site::send(address, site::chat(address, &prompt, true)).await;
         let mut byte = [0];
-        response.read_exact(&mut byte).await.expect("a token comes");
+        response
+            .read_exact(&mut byte)
+            .await
+            .expect("a token arrives");
         response
     };
     let mut responses = Vec::with_capacity(STREAMS);
     for batch in 0..STREAMS / BATCH {
         let indexes = batch * BATCH..(batch + 1) * BATCH;
-        let tasks: Vec<_> = indexes.map(|index| spawn(one(index))).collect();
+        let tasks: Vec<_> = indexes.map(|index| spawn(open_one(index))).collect();
         for task in tasks {
             responses.push(task.await);
         }
@@ -51,7 +56,7 @@
     responses
 }
 
-/// Kilobytes that the latency series of all customers and classes take.
+/// Returns the memory in kilobytes of the latency series of all organisations and classes.
 fn series_kb() -> usize {
     let before = resident_kb();
     let metrics = Metrics::new();
@@ -86,14 +91,14 @@
         };
         let running = site::Site::start_sized(&[setting], 1, slots).await;
         let idle = resident_kb();
-        let direct = open(running.engines[0].address(), "direct").await;
+        let direct = open_streams(running.engines[0].address(), "direct").await;
         let with_direct = resident_kb();
-        let routed = open(running.address(), "routed").await;
+        let routed = open_streams(running.address(), "routed").await;
         let with_routed = resident_kb();
-        let (engine, both) = (with_direct - idle, with_routed - with_direct);
+        let (direct_kb, routed_kb) = (with_direct - idle, with_routed - with_direct);
         println!(
-            "streams={STREAMS} direct_kb={engine} routed_kb={both} router_kb={}",
-            both.saturating_sub(engine)
+            "streams={STREAMS} direct_kb={direct_kb} routed_kb={routed_kb} router_kb={}",
+            routed_kb.saturating_sub(direct_kb)
         );
         drop((direct, routed));
     });
--- a/crates/peridotdeck-router/src/bin/peridotdeck-router.rs
+++ b/crates/peridotdeck-router/src/bin/peridotdeck-router.rs
@@ -4,7 +4,7 @@
 
 use async_std::task;
 use bpaf::Bpaf;
-use peridotdeck_router::ops::{Serve, serve};
+use peridotdeck_router::ops::{Options, serve};
 
 /// Runs an entry router.
 #[derive(Bpaf, Clone, Debug)]
@@ -19,7 +19,7 @@
 
 fn main() -> ExitCode {
     let Arguments { check, settings } = arguments().run();
-    match task::block_on(serve(&Serve { settings, check })) {
+    match task::block_on(serve(&Options { settings, check })) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("peridotdeck-router: {error}");
--- a/crates/peridotdeck-router/src/clock.rs
+++ b/crates/peridotdeck-router/src/clock.rs
@@ -1,43 +1,45 @@
-//! Time since the start of the process, pauses of the whole machine included.
+//! The clock of the decision core, which also counts time in which the VM was suspended.
 
 use std::time::{Duration, Instant, SystemTime};
 
-/// Difference between the clocks that counts as a pause; smaller ones are clock adjustment.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Lead of the wall clock above which the VM counts as suspended.
+///
+/// A smaller lead is an adjustment of the wall clock.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// A monotonic clock that also notices when the machine slept.
+/// A monotonic clock that also counts the time in which the VM was suspended.
 ///
-/// The monotonic clock of a suspended VM stands still, so the wall clock is compared at each look;
-/// what it is ahead is added, and the decision core sees the gap.
+/// The monotonic clock of a suspended VM stands still. Each reading compares it with the wall
+/// clock and adds the wall clock's lead, so that the decision core sees the gap.
 #[derive(Clone, Debug)]
 pub struct Clock {
     start: Instant,
-    slept: Duration,
-    last: (Instant, SystemTime),
+    suspended: Duration,
+    last_reading: (Instant, SystemTime),
 }
 
 impl Clock {
-    /// Starts at zero.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
         let start = Instant::now();
         Self {
             start,
-            slept: Duration::ZERO,
-            last: (start, SystemTime::now()),
+            suspended: Duration::ZERO,
+            last_reading: (start, SystemTime::now()),
         }
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the start, including time in which the VM was suspended.
     pub fn now(&mut self) -> Duration {
         let (now, wall) = (Instant::now(), SystemTime::now());
-        let passed = now - self.last.0;
-        let wall_passed = wall.duration_since(self.last.1).unwrap_or(passed);
-        let ahead = wall_passed.saturating_sub(passed);
-        if ahead > PAUSE {
-            self.slept += ahead;
+        let elapsed = now - self.last_reading.0;
+        let wall_elapsed = wall.duration_since(self.last_reading.1).unwrap_or(elapsed);
+        let lead = wall_elapsed.saturating_sub(elapsed);
+        if lead > SUSPENSION_THRESHOLD {
+            self.suspended += lead;
         }
-        self.last = (now, wall);
-        now - self.start + self.slept
+        self.last_reading = (now, wall);
+        now - self.start + self.suspended
     }
 }
--- a/crates/peridotdeck-router/src/driver.rs
+++ b/crates/peridotdeck-router/src/driver.rs
@@ -1,8 +1,8 @@
 //! The task that owns the decision core.
 //!
-//! Everything that happens comes in over one channel, so the core needs no lock and a decision is
-//! never interleaved with another. Tokens do not pass through here: a request's own task relays
-//! them and reports only its end.
+//! All inputs arrive over one channel, so the core needs no lock and handles one event at a time.
+//! Tokens do not pass through the driver: each request's own task relays them and reports only the
+//! end of an attempt.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -22,13 +22,13 @@
     dial::Dial,
     handle::{Command, Handle, Input},
     metrics::Metrics,
-    peers::Post,
+    peers,
 };
 
-/// Orders that may wait for one request's task.
-const ORDERS: usize = 8;
+/// Commands that may wait for the task of one request.
+const MAX_QUEUED_COMMANDS: usize = 8;
 
-/// The core and the means to carry out its actions.
+/// The decision core, with the network and channels that carry out its actions.
 #[derive(Debug)]
 pub struct Driver<D> {
     node: Node,
@@ -36,67 +36,67 @@
     inputs: Receiver<Input>,
     handle: Handle,
     dial: D,
-    post: Post<D>,
+    peers: peers::Sender<D>,
     metrics: Arc<Metrics>,
     seeds: Vec<SocketAddr>,
-    waiting: Vec<(id::Request, Sender<Command>)>,
+    commands: Vec<(id::Request, Sender<Command>)>,
 }
 
 impl<D: Dial> Driver<D> {
-    /// Prepares the driver of a node.
+    /// Creates the driver of a node.
     #[must_use]
     pub fn new(
         node: Node,
         (handle, inputs): (Handle, Receiver<Input>),
         dial: D,
-        post: Post<D>,
+        peers: peers::Sender<D>,
         metrics: Arc<Metrics>,
         seeds: Vec<SocketAddr>,
     ) -> Self {
-        let waiting = Vec::new();
+        let commands = Vec::new();
         Self {
             node,
             clock: Clock::start(),
             inputs,
             handle,
             dial,
-            post,
+            peers,
             metrics,
             seeds,
-            waiting,
+            commands,
         }
     }
 
-    /// Runs until the task is cancelled.
+    /// Handles inputs and ticks until the task is cancelled.
     pub async fn run(mut self) {
         let mut next_tick = Duration::ZERO;
         loop {
             let now = self.clock.now();
             if now >= next_tick {
                 next_tick = now + TICK_INTERVAL;
-                self.event(now, Event::Tick);
+                self.handle_event(now, Event::Tick);
             }
             if let Ok(Ok(input)) = timeout(next_tick.saturating_sub(now), self.inputs.recv()).await
             {
-                self.input(input);
+                self.handle_input(input);
             }
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.clock.now();
         match input {
-            Input::Event(event) => self.event(now, event),
+            Input::Event(event) => self.handle_event(now, event),
             Input::Message(envelope, from) => {
                 if self.comes_from_member(&envelope, from) {
-                    self.event(now, Event::Message(envelope));
+                    self.handle_event(now, Event::Message(envelope));
                 }
             }
             Input::Submit(call, reply) => {
                 let request = self.node.next_request_id();
-                let (orders, receiver) = async_channel::bounded(ORDERS);
-                // Ids grow, so the list stays sorted.
-                self.waiting.push((request, orders));
+                let (sender, receiver) = async_channel::bounded(MAX_QUEUED_COMMANDS);
+                // Ids grow, so the list stays sorted for the binary search.
+                self.commands.push((request, sender));
                 let _ = reply.try_send((request, receiver));
                 log::info!(
                     "event=arrived request={request:016x} class={} organisation={} service={}",
@@ -104,13 +104,15 @@
                     call.organisation,
                     call.service
                 );
-                self.event(now, Event::Arrive { request, call });
+                self.handle_event(now, Event::Arrive { request, call });
             }
             Input::Inspect(inspect) => inspect(&self.node, now),
         }
     }
 
-    /// A member speaks from the address that the VM list gives; a starting node knows none.
+    /// Returns whether a message comes from the address of its sender in the VM list.
+    ///
+    /// Returns true if the list does not name the sender: a starting node has no list yet.
     fn comes_from_member(&self, envelope: &Envelope, from: IpAddr) -> bool {
         let Some(member) = self.node.view().member(envelope.sender) else {
             return true;
@@ -121,9 +123,10 @@
             .is_ok_and(|address| address.ip() == from)
     }
 
-    fn event(&mut self, now: Duration, event: Event) {
+    /// Handles an event and adds the time that it takes to the published total.
+    fn handle_event(&mut self, now: Duration, event: Event) {
         let started = Instant::now();
-        self.handle_event(now, event);
+        self.apply_event(now, event);
         let busy = started.elapsed().as_nanos() as u64;
         self.handle
             .shared
@@ -131,17 +134,17 @@
             .fetch_add(busy, Ordering::Relaxed);
     }
 
-    fn handle_event(&mut self, now: Duration, event: Event) {
+    fn apply_event(&mut self, now: Duration, event: Event) {
         let ends = matches!(event, Event::Ended { .. } | Event::Abandoned { .. });
         let actions = self.node.handle(now, event);
         let refuses = actions
             .iter()
             .any(|action| matches!(action, Action::Refuse { .. } | Action::Replay { .. }));
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
         if ends || refuses {
-            self.drop_ended();
+            self.close_ended_channels();
         }
         self.handle
             .shared
@@ -153,17 +156,17 @@
             .store(self.node.view().vm_list_revision(), Ordering::Relaxed);
     }
 
-    /// Closes the order channels of requests that have ended, which ends their tasks.
-    fn drop_ended(&mut self) {
+    /// Closes the command channels of requests that have ended, which ends their tasks.
+    fn close_ended_channels(&mut self) {
         let flights = self.node.request_table().flights();
-        self.waiting.retain(|(request, _)| {
+        self.commands.retain(|(request, _)| {
             flights
                 .binary_search_by_key(request, |flight| flight.request)
                 .is_ok()
         });
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Dispatch {
                 request,
@@ -173,7 +176,7 @@
                 let found = self
                     .node
                     .snapshot()
-                    .and_then(|each| each.endpoint(endpoint))
+                    .and_then(|snapshot| snapshot.endpoint(endpoint))
                     .cloned();
                 let Some(endpoint) = found else { return };
                 log::info!(
@@ -181,7 +184,7 @@
                     endpoint.id,
                     endpoint.place
                 );
-                self.order(request, Command::Run { attempt, endpoint });
+                self.send_command(request, Command::Run { attempt, endpoint });
             }
             Action::Refuse { request, refusal } => {
                 log::info!(
@@ -189,7 +192,7 @@
                     refusal.cause,
                     refusal.verdict
                 );
-                self.order(request, Command::Refuse(refusal));
+                self.send_command(request, Command::Refuse(refusal));
             }
             Action::Replay {
                 request,
@@ -197,13 +200,13 @@
                 body,
             } => {
                 log::info!("event=replayed request={request:016x} status={status}");
-                self.order(request, Command::Replay { status, body });
+                self.send_command(request, Command::Replay { status, body });
             }
-            Action::Stop { attempt } => self.stop(attempt),
-            Action::Send { to, body } => self.post.send(to, body),
-            Action::SendToSeeds { body } => self.seek(&body),
+            Action::Stop { attempt } => self.stop_attempt(attempt),
+            Action::Send { to, body } => self.peers.send(to, body),
+            Action::SendToSeeds { body } => self.send_to_seeds(&body),
             Action::Watch(watch) => self.handle.shared.watching.store(watch, Ordering::Relaxed),
-            Action::Poll { endpoint } => self.poll(endpoint),
+            Action::Poll { endpoint } => self.poll_load(endpoint),
             Action::Adopted { revision } => {
                 self.handle
                     .shared
@@ -219,28 +222,27 @@
         }
     }
 
-    fn order(&self, request: id::Request, order: Command) {
-        let found = self
-            .waiting
-            .binary_search_by_key(&request, |(each, _)| *each);
-        if let Ok(at) = found
-            && self.waiting[at].1.try_send(order).is_err()
+    fn send_command(&self, request: id::Request, command: Command) {
+        let found = self.commands.binary_search_by_key(&request, |(id, _)| *id);
+        if let Ok(index) = found
+            && self.commands[index].1.try_send(command).is_err()
         {
             log::warn!("event=order_lost request={request:016x}");
         }
     }
 
-    fn stop(&self, attempt: id::Attempt) {
+    fn stop_attempt(&self, attempt: id::Attempt) {
         let flights = self.node.request_table().flights();
         if let Some(flight) = flights
             .iter()
             .find(|flight| flight.attempt() == Some(attempt))
         {
-            self.order(flight.request, Command::Stop { attempt });
+            self.send_command(flight.request, Command::Stop { attempt });
         }
     }
 
-    fn seek(&self, body: &Body) {
+    /// Sends a message to the seeds by JSON-RPC, since only their callers' addresses are known.
+    fn send_to_seeds(&self, body: &Body) {
         for &seed in &self.seeds {
             let to = Member {
                 node: 0,
@@ -249,54 +251,55 @@
                 callers: seed.to_string(),
                 leaving: false,
             };
-            self.post.call(to, body.clone());
+            self.peers.send_by_rpc(to, body.clone());
         }
     }
 
-    fn poll(&self, number: id::Endpoint) {
+    /// Starts a task that fetches an endpoint's load report and sends it to the driver.
+    fn poll_load(&self, id: id::Endpoint) {
         let found = self
             .node
             .snapshot()
-            .and_then(|snapshot| snapshot.endpoint(number));
+            .and_then(|snapshot| snapshot.endpoint(id));
         let Some(endpoint) = found.cloned() else {
             return;
         };
         let (dial, handle) = (self.dial.clone(), self.handle.clone());
         let metrics = Arc::clone(&self.metrics);
         task::spawn(async move {
-            match read_load(&dial, &endpoint).await {
+            match fetch_load(&dial, &endpoint).await {
                 Ok((report, bytes)) => {
                     metrics.count_message("in", "load", bytes);
                     handle
                         .send(Event::Reported {
-                            endpoint: number,
+                            endpoint: id,
                             report,
                         })
                         .await;
                 }
-                Err(cause) => log::debug!("event=poll_failed endpoint={number} cause=\"{cause}\""),
+                Err(cause) => log::debug!("event=poll_failed endpoint={id} cause=\"{cause}\""),
             }
         });
     }
 }
 
-/// Reads an endpoint's load report and returns its size in bytes with it.
-async fn read_load<D: Dial>(
+/// Fetches an endpoint's load report and returns it with its size in bytes.
+async fn fetch_load<D: Dial>(
     dial: &D,
     endpoint: &Endpoint,
 ) -> http_types::Result<(engine::Report, usize)> {
-    /// Longest time for a report, which is worthless when it is old.
-    const PATIENCE: Duration = Duration::from_millis(900);
+    /// Longest wait for the response head, and for the body; an old report is worthless.
+    const TIMEOUT: Duration = Duration::from_millis(900);
     let address: SocketAddr = endpoint.address.parse()?;
-    let broken = |cause| http_types::Error::new(http_types::StatusCode::BadGateway, cause);
+    let bad_gateway = |cause| http_types::Error::new(http_types::StatusCode::BadGateway, cause);
     let stream = dial
         .connect(&endpoint.place, address)
         .await
-        .map_err(broken)?;
+        .map_err(bad_gateway)?;
     let request = http_types::Request::get(client::url(address, "/load")?);
-    let mut response = client::send(stream, request, PATIENCE)
+    let mut response = client::send(stream, request, TIMEOUT)
         .await
-        .map_err(broken)?;
-    let body = timeout(PATIENCE, response.body_bytes()).await??;
+        .map_err(bad_gateway)?;
+    let body = timeout(TIMEOUT, response.body_bytes()).await??;
     Ok((serde_json::from_slice(&body)?, body.len()))
 }
--- a/crates/peridotdeck-router/src/handle.rs
+++ b/crates/peridotdeck-router/src/handle.rs
@@ -1,4 +1,4 @@
-//! The way to the driver, for all other tasks.
+//! The channel by which all other tasks reach the driver.
 
 use std::{
     net::IpAddr,
@@ -17,21 +17,21 @@
 use peridotdeck_policy::{Endpoint, Snapshot};
 use peridotdeck_wire::Envelope;
 
-/// Inputs that may wait; more slow their senders down.
-const INPUTS: usize = 4_096;
+/// Inputs that may wait for the driver; a full channel makes senders wait.
+const MAX_QUEUED_INPUTS: usize = 4_096;
 
-/// A look at the node, not on the request path.
+/// A closure that reads the node's state at the given time; not used on the request path.
 pub type Inspection = Box<dyn FnOnce(&Node, Duration) + Send>;
 
-/// Something for the core to handle.
+/// An input that the driver passes to the core.
 pub enum Input {
-    /// An event.
+    /// An event of the core.
     Event(Event),
-    /// A message, with the address that it came from.
+    /// A peer's message and the IP address of its sender.
     Message(Envelope, IpAddr),
-    /// A new request.
+    /// A caller's new request, and the channel for its id and its commands.
     Submit(Call, Sender<(id::Request, Receiver<Command>)>),
-    /// A look at the node.
+    /// A closure that reads the node's state.
     Inspect(Inspection),
 }
 
@@ -46,14 +46,14 @@
     }
 }
 
-/// What a request's task is told.
+/// A command of the core to the task of one request.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Send the request to an endpoint.
     Run {
-        /// Id that the endpoint must echo.
+        /// Id of the attempt, which the endpoint must echo.
         attempt: id::Attempt,
-        /// Where to send it.
+        /// The endpoint that receives the request.
         endpoint: Endpoint,
     },
     /// Close the attempt's connection.
@@ -61,35 +61,35 @@
         /// The attempt.
         attempt: id::Attempt,
     },
-    /// Tell the caller that there will be no answer.
+    /// Answer the caller with a refusal.
     Refuse(Refusal),
-    /// Give the caller an earlier answer.
+    /// Send the caller the stored answer of an earlier request with the same idempotency key.
     Replay {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Body.
+        /// Body of the answer.
         body: String,
     },
 }
 
-/// The way to the driver, for all other tasks.
+/// The sending side of the driver's channel, and the state that the driver publishes.
 #[derive(Clone, Debug)]
 pub struct Handle {
     inputs: Sender<Input>,
-    /// What the platform's watches need to know without asking.
+    /// State that tasks read without an input to the driver.
     pub shared: Arc<Shared>,
 }
 
-/// Facts that the driver publishes to the other tasks.
+/// State that the driver publishes to the other tasks.
 #[derive(Debug, Default)]
 pub struct Shared {
-    /// Configuration revision in force.
+    /// Revision of the configuration in force.
     pub config_revision: AtomicU64,
-    /// Index of the VM list in use.
+    /// Revision of the VM list in use.
     pub vm_list_revision: AtomicU64,
-    /// Whether this node watches the platform.
+    /// Whether this node is a watcher, which keeps blocking queries open at the platform.
     pub watching: AtomicBool,
-    /// Time in nanoseconds that decisions have taken.
+    /// Total time in nanoseconds that the core has spent on events.
     pub busy_ns: AtomicU64,
     snapshot: Mutex<Option<Arc<Snapshot>>>,
 }
@@ -110,10 +110,10 @@
 }
 
 impl Handle {
-    /// Creates the channel to a driver.
+    /// Creates the channel and returns both ends; the receiver is the driver's.
     #[must_use]
     pub fn new() -> (Self, Receiver<Input>) {
-        let (inputs, receiver) = async_channel::bounded(INPUTS);
+        let (inputs, receiver) = async_channel::bounded(MAX_QUEUED_INPUTS);
         (
             Self {
                 inputs,
@@ -123,33 +123,37 @@
         )
     }
 
-    /// Hands over an event.
+    /// Sends an event to the driver; does nothing after the driver has stopped.
     pub async fn send(&self, event: Event) {
         self.send_input(Input::Event(event)).await;
     }
 
-    /// Hands over an input; after the driver has stopped, nothing happens.
+    /// Sends an input to the driver; does nothing after the driver has stopped.
     pub async fn send_input(&self, input: Input) {
         let _ = self.inputs.send(input).await;
     }
 
-    /// Hands over a request and returns its id and orders; none after the driver has stopped.
+    /// Submits a request and returns its id and the channel of its commands.
+    ///
+    /// Returns `None` after the driver has stopped.
     pub async fn submit(&self, call: Call) -> Option<(id::Request, Receiver<Command>)> {
-        let (reply, answer) = async_channel::bounded(1);
+        let (reply, response) = async_channel::bounded(1);
         self.send_input(Input::Submit(call, reply)).await;
-        answer.recv().await.ok()
+        response.recv().await.ok()
     }
 
-    /// Looks at the node; none after the driver has stopped.
+    /// Runs a closure on the node's state and returns its result.
+    ///
+    /// Returns `None` after the driver has stopped.
     pub async fn inspect<T: Send + 'static>(
         &self,
         inspect: impl FnOnce(&Node, Duration) -> T + Send + 'static,
     ) -> Option<T> {
-        let (reply, answer) = async_channel::bounded(1);
+        let (reply, result) = async_channel::bounded(1);
         let inspection = move |node: &Node, now| {
             let _ = reply.try_send(inspect(node, now));
         };
         self.send_input(Input::Inspect(Box::new(inspection))).await;
-        answer.recv().await.ok()
+        result.recv().await.ok()
     }
 }
--- a/crates/peridotdeck-router/src/lib.rs
+++ b/crates/peridotdeck-router/src/lib.rs
@@ -1,15 +1,16 @@
-//! The entry router: a shell of tasks around the decision core.
+//! The entry router: the tasks that do the I/O for the decision core.
 //!
-//! - [`driver`]: one task that owns the [`peridotdeck_core::Node`] and carries out its actions;
-//!   [`handle`]: the way to it;
-//! - [`callers`]: the HTTP interface for callers, and [`carrier`]: the task of one request;
-//! - [`attempt`]: one try at an endpoint, streamed or whole;
-//! - [`peers`]: datagrams and JSON-RPC between routers;
+//! - [`driver`]: the task that owns the [`peridotdeck_core::Node`] and carries out its actions;
+//! - [`handle`]: the channel by which other tasks reach the driver;
+//! - [`callers`]: the HTTP interface for callers;
+//! - [`carrier`]: the task of one request;
+//! - [`attempt`]: one attempt at an endpoint, with a streamed or a whole answer;
+//! - [`peers`]: messages between routers, by datagram and JSON-RPC;
 //! - [`platform`]: watches of the configuration service and the VM list;
-//! - [`operators`]: status, explanation, drain and metrics.
+//! - [`operators`]: probes, metrics, and JSON-RPC for status, explanation and drain.
 //!
-//! [`Router::start`] runs them all in the calling process, which is how the binary, the tests and
-//! the load tool use the same code. See `docs/ARCHITECTURE.md`.
+//! [`Router::start`] runs them all in the calling process, so that the binary, the tests and the
+//! load tool use the same code. See `docs/ARCHITECTURE.md`.
 
 pub mod attempt;
 pub mod callers;
--- a/crates/peridotdeck-router/src/metrics.rs
+++ b/crates/peridotdeck-router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators see on `/metrics`.
+//! The Prometheus metrics that `/metrics` serves.
 
 use std::time::Duration;
 
@@ -9,50 +9,50 @@
     TextEncoder,
 };
 
-/// Upper bounds in seconds around interactive targets.
-const FIRST_TOKEN_BOUNDS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.3, 0.44, 0.6, 1.0, 2.0, 5.0];
-/// Upper bounds in seconds around the 35 ms target.
-const GAP_BOUNDS: [f64; 8] = [0.005, 0.01, 0.02, 0.035, 0.05, 0.1, 0.2, 0.5];
-/// Upper bounds in seconds for whole answers.
-const WHOLE_BOUNDS: [f64; 10] = [0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0];
+/// Histogram bounds in seconds for the time to first token, around interactive targets.
+const FIRST_TOKEN_BOUNDS_S: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.3, 0.44, 0.6, 1.0, 2.0, 5.0];
+/// Histogram bounds in seconds for the inter-token latency, around the 35 ms target.
+const TOKEN_LATENCY_BOUNDS_S: [f64; 8] = [0.005, 0.01, 0.02, 0.035, 0.05, 0.1, 0.2, 0.5];
+/// Histogram bounds in seconds for the duration of whole answers.
+const DURATION_BOUNDS_S: [f64; 10] = [0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0];
 
-/// Labels of everything that concerns a caller.
+/// Labels of the latency histograms.
 const LABELS: [&str; 2] = ["class", "organisation"];
 
-/// All series of one router.
+/// All metric series of one router.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    first_token: HistogramVec,
-    gap: HistogramVec,
-    whole: HistogramVec,
-    attained: IntCounterVec,
-    refused: IntCounterVec,
+    time_to_first_token: HistogramVec,
+    inter_token_latency: HistogramVec,
+    duration: HistogramVec,
+    answers: IntCounterVec,
+    refusals: IntCounterVec,
     attempts: IntCounterVec,
     tokens: IntCounterVec,
     state: IntGaugeVec,
-    messages: IntCounterVec,
+    peer_bytes: IntCounterVec,
     targets: GaugeVec,
 }
 
-/// Latencies of one finished request.
+/// Latencies of one request that got a whole answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sample {
-    /// From arrival to the first token.
+    /// Time from arrival to the first token; `None` without a token.
     pub time_to_first_token: Option<Duration>,
-    /// Mean gap between tokens.
+    /// Mean inter-token latency; `None` with fewer than two tokens.
     pub inter_token_latency: Option<Duration>,
-    /// From arrival to the end.
+    /// Time from arrival to the end.
     pub duration: Duration,
-    /// Whether every target of the class was met.
+    /// Whether the latencies meet every target of the class.
     pub meets_targets: bool,
 }
 
 impl Metrics {
-    /// Registers all series.
+    /// Creates and registers all series.
     ///
     /// # Panics
-    /// If two series share a name, which is a fault of this program.
+    /// If a name is invalid or two series share a name, which is a bug.
     #[must_use]
     pub fn new() -> Self {
         let registry = Registry::new();
@@ -64,27 +64,27 @@
             IntCounterVec::new(Opts::new(name, help), labels).expect("names are valid")
         };
         let metrics = Self {
-            first_token: histogram(
+            time_to_first_token: histogram(
                 "peridotdeck_first_token_seconds",
                 "From arrival to the first token",
-                &FIRST_TOKEN_BOUNDS,
+                &FIRST_TOKEN_BOUNDS_S,
             ),
-            gap: histogram(
+            inter_token_latency: histogram(
                 "peridotdeck_token_gap_seconds",
                 "Mean gap between tokens",
-                &GAP_BOUNDS,
+                &TOKEN_LATENCY_BOUNDS_S,
             ),
-            whole: histogram(
+            duration: histogram(
                 "peridotdeck_answer_seconds",
                 "From arrival to the end of the answer",
-                &WHOLE_BOUNDS,
+                &DURATION_BOUNDS_S,
             ),
-            attained: counter(
+            answers: counter(
                 "peridotdeck_answers_total",
                 "Whole answers, by whether targets were met",
                 &["class", "organisation", "attained"],
             ),
-            refused: counter(
+            refusals: counter(
                 "peridotdeck_refusals_total",
                 "Requests ended without a whole answer",
                 &["class", "organisation", "cause", "verdict"],
@@ -101,7 +101,7 @@
             ),
             state: IntGaugeVec::new(Opts::new("peridotdeck_state", "State of the node"), &["of"])
                 .expect("names are valid"),
-            messages: counter(
+            peer_bytes: counter(
                 "peridotdeck_peer_bytes_total",
                 "Bytes of messages between routers",
                 &["direction", "kind"],
@@ -122,42 +122,42 @@
 
     fn register(&self) {
         let series: [Box<dyn prometheus::core::Collector>; 10] = [
-            Box::new(self.first_token.clone()),
-            Box::new(self.gap.clone()),
-            Box::new(self.whole.clone()),
-            Box::new(self.attained.clone()),
-            Box::new(self.refused.clone()),
+            Box::new(self.time_to_first_token.clone()),
+            Box::new(self.inter_token_latency.clone()),
+            Box::new(self.duration.clone()),
+            Box::new(self.answers.clone()),
+            Box::new(self.refusals.clone()),
             Box::new(self.attempts.clone()),
             Box::new(self.tokens.clone()),
             Box::new(self.state.clone()),
-            Box::new(self.messages.clone()),
+            Box::new(self.peer_bytes.clone()),
             Box::new(self.targets.clone()),
         ];
-        for each in series {
+        for collector in series {
             self.registry
-                .register(each)
+                .register(collector)
                 .expect("each series is registered once");
         }
     }
 
-    /// Counts a whole answer.
+    /// Counts a whole answer and records its latencies.
     pub fn count_answer(&self, class: &str, organisation: &str, sample: Sample) {
         let labels = [class, organisation];
-        if let Some(first) = sample.time_to_first_token {
-            self.first_token
+        if let Some(time) = sample.time_to_first_token {
+            self.time_to_first_token
                 .with_label_values(&labels)
-                .observe(first.as_secs_f64());
+                .observe(time.as_secs_f64());
         }
-        if let Some(gap) = sample.inter_token_latency {
-            self.gap
+        if let Some(latency) = sample.inter_token_latency {
+            self.inter_token_latency
                 .with_label_values(&labels)
-                .observe(gap.as_secs_f64());
+                .observe(latency.as_secs_f64());
         }
-        self.whole
+        self.duration
             .with_label_values(&labels)
             .observe(sample.duration.as_secs_f64());
         let attained = if sample.meets_targets { "yes" } else { "no" };
-        self.attained
+        self.answers
             .with_label_values(&[class, organisation, attained])
             .inc();
     }
@@ -165,7 +165,7 @@
     /// Counts a request that ended without a whole answer.
     pub fn count_refusal(&self, class: &str, organisation: &str, refusal: Refusal) {
         let (cause, verdict) = (refusal.cause.into(), refusal.verdict.into());
-        self.refused
+        self.refusals
             .with_label_values(&[class, organisation, cause, verdict])
             .inc();
     }
@@ -180,17 +180,17 @@
             .inc_by(tokens.into());
     }
 
-    /// Counts a message between routers.
+    /// Counts the bytes of a message between routers or of an endpoint's load report.
     pub fn count_message(&self, direction: &str, kind: &str, bytes: usize) {
-        self.messages
+        self.peer_bytes
             .with_label_values(&[direction, kind])
             .inc_by(bytes as u64);
     }
 
-    /// Returns the bytes of messages in one direction, by kind.
+    /// Returns the bytes of messages in one direction (`in` or `out`), by kind.
     #[must_use]
     pub fn message_bytes(&self, direction: &str) -> Vec<(String, u64)> {
-        let families = prometheus::core::Collector::collect(&self.messages);
+        let families = prometheus::core::Collector::collect(&self.peer_bytes);
         let metrics = families
             .iter()
             .flat_map(prometheus::proto::MetricFamily::get_metric);
@@ -211,10 +211,10 @@
             .collect()
     }
 
-    /// Sets the gauges from the node's state and prints all series.
+    /// Sets the gauges from the node's state and returns all series as text.
     #[must_use]
     pub fn render(&self, node: &Node) -> String {
-        self.observe(node);
+        self.set_gauges(node);
         let mut text = Vec::new();
         if let Err(cause) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             log::error!("event=metrics_failed cause=\"{cause}\"");
@@ -222,8 +222,8 @@
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    fn observe(&self, node: &Node) {
-        let (desk, counts, drops) = (
+    fn set_gauges(&self, node: &Node) {
+        let (requests, pools, drops) = (
             node.request_table().counts(),
             node.pools().counts(),
             node.drops(),
@@ -234,13 +234,13 @@
             ("roster", node.view().vm_list_revision()),
             ("live_nodes", node.view().live_count() as u64),
             ("open_requests", node.request_table().flights().len() as u64),
-            ("arrived", desk.arrived),
-            ("retries", desk.retries),
-            ("direct", desk.direct),
+            ("arrived", requests.arrived),
+            ("retries", requests.retries),
+            ("direct", requests.direct),
             ("owned_pools", node.pools().schedulers().len() as u64),
-            ("granted", counts.granted),
-            ("preempted", counts.preempted),
-            ("shed_for_bulk", counts.shed_for_bulk),
+            ("granted", pools.granted),
+            ("preempted", pools.preempted),
+            ("shed_for_bulk", pools.shed_for_bulk),
             ("reservations", node.witness().len() as u64),
             ("dropped_unknown", drops.unknown),
             ("dropped_foreign", drops.foreign),
--- a/crates/peridotdeck-router/src/operators.rs
+++ b/crates/peridotdeck-router/src/operators.rs
@@ -1,7 +1,8 @@
 //! The interface for operators: probes, metrics, and JSON-RPC for status, explanation and drain.
 //!
-//! The JSON-RPC methods answer only on loopback, where the operators' command runs; probes and
-//! metrics answer everyone, because balancers and scrapers stand elsewhere.
+//! The operators' JSON-RPC methods accept only requests from loopback, where the operators' command
+//! runs. Probes and metrics accept requests from any address, because load balancers and scrapers
+//! run outside this VM.
 
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
@@ -20,28 +21,28 @@
 /// Path of the operators' JSON-RPC interface.
 pub const PATH: &str = "/rpc/operator";
 
-/// State of a node as operators see it.
+/// State of a node, the result of `operator.status`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Number of the VM.
     pub node: id::Node,
-    /// Data centre.
+    /// Data centre of the VM.
     pub place: String,
-    /// Whether it serves callers.
+    /// Whether the node accepts requests.
     pub ready: bool,
-    /// Whether it is shutting down.
+    /// Whether the node is shutting down.
     pub leaving: bool,
-    /// Configuration revision in force.
+    /// Revision of the configuration in force.
     pub revision: id::Revision,
-    /// Highest revision that was refused; 0 for none.
+    /// Highest configuration revision that was rejected; 0 for none.
     pub rejected: id::Revision,
-    /// Index of the VM list.
+    /// Revision of the VM list in use.
     pub roster: id::Revision,
     /// Live nodes by data centre.
     pub live: Vec<(String, Vec<id::Node>)>,
-    /// Requests of this node's callers.
+    /// Requests in flight of this node's callers.
     pub open: usize,
-    /// Whether it votes on every idempotency key that it witnesses.
+    /// Whether the node votes on every idempotency key of which it is a witness.
     pub witness: bool,
     /// Pools that this node schedules.
     pub pools: Vec<Pool>,
@@ -52,76 +53,76 @@
 pub struct Pool {
     /// Name of the service.
     pub service: String,
-    /// Waiting requests.
+    /// Requests that wait for a slot.
     pub waiting: usize,
-    /// Endpoints.
+    /// State of each endpoint of the pool.
     pub endpoints: Vec<Endpoint>,
 }
 
 /// State of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Number.
+    /// Id of the endpoint.
     pub id: id::Endpoint,
-    /// How much it is trusted with.
+    /// Phase, which determines how much load the endpoint gets.
     pub phase: String,
     /// Slots in use.
     pub in_flight: u32,
-    /// Slots when warm.
+    /// Slots that the endpoint has when warm.
     pub slots: u32,
 }
 
-/// A request to explain.
+/// Parameters of `operator.explain`: a request whose handling to explain.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Query {
-    /// Name of the customer.
+    /// Name of the organisation.
     pub organisation: String,
     /// Name of the service.
     pub service: String,
-    /// Name of the class; empty for the service's own.
+    /// Name of the class; empty for the service's default class.
     pub class: String,
 }
 
-/// How a request would be classed, limited and placed.
+/// Class, limits and pools of a request, the result of `operator.explain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// Class that it would get.
+    /// Class that the request would get.
     pub class: String,
-    /// Its tier.
+    /// Tier of the class.
     pub tier: u8,
-    /// Requests that the customer has in progress at this node.
+    /// Requests that the organisation has in progress at this node.
     pub open: u32,
-    /// Requests that the customer may have in progress at this node.
+    /// Requests that the organisation may have in progress at this node.
     pub concurrency: u32,
-    /// Pools in the order of preference.
+    /// Pools that may take the request, best first.
     pub pools: Vec<Choice>,
 }
 
 /// A pool that may take the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
-    /// Data centre.
+    /// Data centre of the pool.
     pub place: String,
-    /// Node that schedules it.
+    /// Node that schedules the pool.
     pub owner: id::Node,
-    /// Expected wait in milliseconds.
+    /// Expected wait for a slot in milliseconds.
     pub wait_ms: u64,
-    /// Delay of the path in milliseconds.
+    /// Assumed network delay in milliseconds.
     pub path_ms: u64,
-    /// Whether the class's promise would be missed there.
+    /// Whether the wait and the delay exceed the class's queue timeout; always `false` for bulk.
     pub late: bool,
 }
 
-/// Adds the operators' and peers' routes.
+/// Adds the HTTP routes for operators and peers.
 pub fn add_routes<D: Dial>(app: &mut tide::Server<State<D>>) {
     app.at("/healthz").get(|_| async { Ok("ok\n") });
-    app.at("/readyz").get(ready::<D>);
-    app.at("/metrics").get(metrics::<D>);
-    app.at(PATH).post(operate::<D>);
-    app.at(peers::PATH).post(deliver::<D>);
+    app.at("/readyz").get(serve_readiness::<D>);
+    app.at("/metrics").get(serve_metrics::<D>);
+    app.at(PATH).post(serve_operator_rpc::<D>);
+    app.at(peers::PATH).post(serve_peer_rpc::<D>);
 }
 
-async fn ready<D: Dial>(request: Request<State<D>>) -> tide::Result {
+async fn serve_readiness<D: Dial>(request: Request<State<D>>) -> tide::Result {
     let ready = request
         .state()
         .handle
@@ -135,7 +136,7 @@
     Ok(tide::Response::builder(status).body(text).build())
 }
 
-async fn metrics<D: Dial>(request: Request<State<D>>) -> tide::Result {
+async fn serve_metrics<D: Dial>(request: Request<State<D>>) -> tide::Result {
     let metrics = Arc::clone(&request.state().metrics);
     let text = request
         .state()
@@ -148,68 +149,68 @@
     Ok(tide::Response::from_res(response))
 }
 
-fn caller<S>(request: &Request<S>) -> Option<IpAddr> {
+fn remote_ip<S>(request: &Request<S>) -> Option<IpAddr> {
     let Connection(stream) = request.ext::<Connection>()?;
     stream.peer_addr().ok().map(|address| address.ip())
 }
 
-fn json(text: String) -> tide::Response {
+fn json_response(text: String) -> tide::Response {
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(text);
     response.set_content_type(mime::JSON);
     tide::Response::from_res(response)
 }
 
-async fn deliver<D: Dial>(mut request: Request<State<D>>) -> tide::Result {
-    /// Largest message of a peer in bytes: the whole configuration of a large fleet.
-    const LIMIT: usize = 16 << 20;
-    let Some(from) = caller(&request) else {
+async fn serve_peer_rpc<D: Dial>(mut request: Request<State<D>>) -> tide::Result {
+    /// Largest message of a peer in bytes; it holds the whole configuration of a large fleet.
+    const MAX_BODY_BYTES: usize = 16 << 20;
+    let Some(from) = remote_ip(&request) else {
         return Ok(tide::Response::new(403));
     };
-    if request.len().is_none_or(|length| length > LIMIT) {
+    if request.len().is_none_or(|length| length > MAX_BODY_BYTES) {
         return Ok(tide::Response::new(413));
     }
     let text = request.body_bytes().await?;
     let state = request.state();
-    Ok(json(
-        peers::answer(&text, from, &state.handle, &state.metrics).await,
+    Ok(json_response(
+        peers::answer_rpc(&text, from, &state.handle, &state.metrics).await,
     ))
 }
 
-async fn operate<D: Dial>(mut request: Request<State<D>>) -> tide::Result {
-    /// Largest call of an operator in bytes.
-    const LIMIT: usize = 64 * 1_024;
-    if !caller(&request).is_some_and(|from| from.is_loopback()) {
+async fn serve_operator_rpc<D: Dial>(mut request: Request<State<D>>) -> tide::Result {
+    /// Largest request of an operator in bytes.
+    const MAX_BODY_BYTES: usize = 64 * 1_024;
+    if !remote_ip(&request).is_some_and(|from| from.is_loopback()) {
         return Ok(tide::Response::new(403));
     }
-    if request.len().is_none_or(|length| length > LIMIT) {
+    if request.len().is_none_or(|length| length > MAX_BODY_BYTES) {
         return Ok(tide::Response::new(413));
     }
     let text = request.body_string().await?;
-    let module = module(request.state().handle.clone());
+    let module = rpc_module(request.state().handle.clone());
     let module = module.map_err(|cause| tide::Error::from_str(500, cause.to_string()))?;
-    let answer = module.raw_json_request(&text, 1).await;
-    Ok(json(
-        answer
-            .map(|(answer, _)| answer.get().to_owned())
+    let response = module.raw_json_request(&text, 1).await;
+    Ok(json_response(
+        response
+            .map(|(response, _)| response.get().to_owned())
             .unwrap_or_default(),
     ))
 }
 
-fn module(handle: Handle) -> Result<RpcModule<Handle>, jsonrpsee_core::RegisterMethodError> {
+fn rpc_module(handle: Handle) -> Result<RpcModule<Handle>, jsonrpsee_core::RegisterMethodError> {
     let stopped = || ErrorObjectOwned::owned::<()>(-32_000, "the node has stopped", None);
     let mut module = RpcModule::new(handle);
     module.register_async_method("operator.status", move |_, handle, _| async move {
         handle
-            .inspect(|node, _| status(node))
+            .inspect(|node, _| describe_node(node))
             .await
             .ok_or_else(stopped)
     })?;
     module.register_async_method("operator.explain", move |params, handle, _| async move {
         let query: Query = params.one()?;
-        let look = move |node: &Node, now| explain(node, &query, now);
+        let inspection = move |node: &Node, now| explain(node, &query, now);
         handle
-            .inspect(look)
+            .inspect(inspection)
             .await
             .ok_or_else(stopped)?
             .map_err(|cause| ErrorObjectOwned::owned::<()>(-32_602, cause, None))
@@ -221,16 +222,16 @@
     Ok(module)
 }
 
-fn status(node: &Node) -> Status {
+fn describe_node(node: &Node) -> Status {
     let view = node.view();
-    let mut places: Vec<String> = view
+    let mut data_centres: Vec<String> = view
         .members()
         .iter()
         .map(|member| member.place.clone())
         .collect();
-    places.push(view.data_centre().to_owned());
-    places.sort_unstable();
-    places.dedup();
+    data_centres.push(view.data_centre().to_owned());
+    data_centres.sort_unstable();
+    data_centres.dedup();
     Status {
         node: view.local_node(),
         place: view.data_centre().to_owned(),
@@ -239,25 +240,30 @@
         revision: node.config().revision(),
         rejected: node.config().rejected_revision(),
         roster: view.vm_list_revision(),
-        live: places
+        live: data_centres
             .into_iter()
-            .map(|place| (place.clone(), view.live_nodes(&place).to_vec()))
+            .map(|name| (name.clone(), view.live_nodes(&name).to_vec()))
             .collect(),
         open: node.request_table().flights().len(),
         witness: node.witness().is_ready(),
-        pools: node.pools().schedulers().iter().map(pool).collect(),
+        pools: node
+            .pools()
+            .schedulers()
+            .iter()
+            .map(describe_pool)
+            .collect(),
     }
 }
 
-fn pool(scheduler: &Scheduler) -> Pool {
+fn describe_pool(scheduler: &Scheduler) -> Pool {
     Pool {
         service: scheduler.pool().service.clone(),
         waiting: scheduler.waiting().len(),
-        endpoints: scheduler.engines().iter().map(endpoint).collect(),
+        endpoints: scheduler.engines().iter().map(describe_endpoint).collect(),
     }
 }
 
-fn endpoint(state: &engine::State) -> Endpoint {
+fn describe_endpoint(state: &engine::State) -> Endpoint {
     Endpoint {
         id: state.id(),
         phase: state.phase().to_string(),
@@ -302,12 +308,12 @@
         pools: node
             .candidates(&call, now)
             .into_iter()
-            .map(|each| choice(snapshot, &each))
+            .map(|candidate| describe_choice(snapshot, &candidate))
             .collect(),
     })
 }
 
-fn choice(snapshot: &peridotdeck_policy::Snapshot, candidate: &Candidate) -> Choice {
+fn describe_choice(snapshot: &peridotdeck_policy::Snapshot, candidate: &Candidate) -> Choice {
     Choice {
         place: snapshot
             .pool(candidate.pool)
--- a/crates/peridotdeck-router/src/ops.rs
+++ b/crates/peridotdeck-router/src/ops.rs
@@ -1,4 +1,4 @@
-//! What the router's command does, callable without a command line.
+//! The router program, callable without a command line.
 
 use std::{io, path::PathBuf};
 
@@ -10,14 +10,14 @@
 
 use crate::{
     dial::Direct,
-    router::{Options, Router, Sockets},
+    router::{self, Router, Sockets},
 };
 
 quick_error! {
-    /// Why the router cannot run.
+    /// Reason for which the router cannot run.
     #[derive(Debug)]
     pub enum Error {
-        /// The settings are wrong.
+        /// The settings file cannot be read or is invalid.
         Settings(cause: peridotdeck_settings::Error) {
             display("{cause}")
             from()
@@ -25,7 +25,7 @@
         }
         /// An address cannot be bound, or signals cannot be received.
         Start(cause: io::Error) {
-            display("cannot start: {cause}; check that the addresses are this machine's and free")
+            display("cannot start: {cause}; check that the addresses in the settings belong to this VM and are not in use")
             from()
             source(cause)
         }
@@ -34,18 +34,18 @@
 
 /// Options of [`serve`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Serve {
-    /// Settings file.
+pub struct Options {
+    /// Path of the settings file (TOML).
     pub settings: PathBuf,
-    /// Whether to stop after checking it.
+    /// Whether to check the settings and return without starting the router.
     pub check: bool,
 }
 
-/// Runs a router until a signal asks it to leave; SIGTERM and SIGINT shut down gracefully.
+/// Runs a router until SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
-/// If the settings are wrong or the router cannot start.
-pub async fn serve(options: &Serve) -> Result<(), Error> {
+/// If the settings cannot be read or are invalid, or the router cannot start.
+pub async fn serve(options: &Options) -> Result<(), Error> {
     let settings = load(&options.settings)?;
     if options.check {
         println!("{}: ok", options.settings.display());
@@ -55,14 +55,14 @@
     abort_on_panic();
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let sockets = Sockets::bind(&settings).await?;
-    let router = Router::start(settings, sockets, Options::from_clock(Direct)).await?;
+    let router = Router::start(settings, sockets, router::Options::from_clock(Direct)).await?;
     signals.next().await;
     router.drain().await;
     router.stop().await;
     Ok(())
 }
 
-/// Starts logging at the settings' level; the `RUST_LOG` variable goes before it.
+/// Starts logging at the level of the settings; the variable `RUST_LOG` takes precedence.
 fn start_log(settings: &Settings) {
     env_logger::Builder::from_env(
         env_logger::Env::default().default_filter_or(settings.log.clone()),
@@ -80,14 +80,14 @@
     .init();
 }
 
-/// Ends the process when any task panics.
+/// Makes a panic in any task abort the process.
 ///
-/// A panic is a fault of this program. A router whose core has died would keep its sockets open
-/// and answer nobody; ended, it is replaced.
+/// A panic is a bug. A router whose core has panicked would keep its sockets open without answering
+/// any request; a process that has ended is replaced.
 pub fn abort_on_panic() {
-    let report = std::panic::take_hook();
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        report(info);
+        default_hook(info);
         std::process::abort();
     }));
 }
--- a/crates/peridotdeck-router/src/peers.rs
+++ b/crates/peridotdeck-router/src/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between routers.
 //!
-//! Small messages travel as datagrams; the core repeats what gets lost. A message that does not fit
-//! a datagram travels as a JSON-RPC call to the peer's HTTP address, with the same types.
+//! A message that fits travels as a UDP datagram; the core resends lost messages. A larger message
+//! travels as a JSON-RPC request to the peer's HTTP address, with the same types.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -14,7 +14,7 @@
 
 use async_std::{net::UdpSocket, task};
 use http_types::{Method, Request, mime};
-use jsonrpsee_types::{Id, Request as Call, Response, ResponsePayload};
+use jsonrpsee_types::{Id, Request as RpcRequest, Response, ResponsePayload};
 use peridotdeck_http::client;
 use peridotdeck_policy::digest_name;
 use peridotdeck_wire::{Body, Envelope, Error, MAX_DATAGRAM, Member, decode, encode};
@@ -29,38 +29,38 @@
 /// Path of the peers' JSON-RPC interface.
 pub const PATH: &str = "/rpc/peer";
 
-/// Method that delivers one envelope.
-const DELIVER: &str = "peer.deliver";
+/// JSON-RPC method that delivers one envelope.
+const DELIVER_METHOD: &str = "peer.deliver";
 
-/// Longest time for a call between routers.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Longest wait for a peer's response to a JSON-RPC request.
+const RPC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Who this node is to its peers.
+/// Identity under which this node sends messages to its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
     /// Number of the VM.
     pub node: u32,
-    /// Start of the process.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Digest of the data centre.
-    pub place: u32,
+    /// Digest of the data centre's name.
+    pub data_centre_digest: u32,
 }
 
 impl Identity {
-    /// Names a node in a data centre.
+    /// Creates the identity of a node in a data centre.
     #[must_use]
-    pub fn new(node: u32, incarnation: u64, place: &str) -> Self {
+    pub fn new(node: u32, incarnation: u64, data_centre: &str) -> Self {
         Self {
             node,
             incarnation,
-            place: digest_name(place) as u32,
+            data_centre_digest: digest_name(data_centre) as u32,
         }
     }
 }
 
-/// The sending side.
+/// Sender of messages to peers.
 #[derive(Clone, Debug)]
-pub struct Post<D> {
+pub struct Sender<D> {
     identity: Identity,
     socket: Arc<UdpSocket>,
     dial: D,
@@ -68,8 +68,8 @@
     metrics: Arc<Metrics>,
 }
 
-impl<D: Dial> Post<D> {
-    /// Prepares to send from a socket.
+impl<D: Dial> Sender<D> {
+    /// Creates a sender that sends datagrams from a socket.
     #[must_use]
     pub fn new(identity: Identity, socket: Arc<UdpSocket>, dial: D, metrics: Arc<Metrics>) -> Self {
         Self {
@@ -85,13 +85,13 @@
         Envelope {
             sender: self.identity.node,
             incarnation: self.identity.incarnation,
-            place: self.identity.place,
+            place: self.identity.data_centre_digest,
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             body,
         }
     }
 
-    /// Sends a message, by datagram if it fits.
+    /// Sends a message, by datagram if it fits and by JSON-RPC otherwise.
     pub fn send(&self, to: Member, body: Body) {
         let Some(delay) = self.dial.datagram(&to.place) else {
             return;
@@ -99,7 +99,7 @@
         let envelope = self.envelope(body);
         match encode(&envelope) {
             Ok(bytes) => self.send_datagram(&to, bytes, kind(&envelope.body), delay),
-            Err(Error::Large(_)) => self.deliver(to, envelope),
+            Err(Error::Large(_)) => self.spawn_rpc(to, envelope),
             Err(cause) => log::error!("event=encode_failed cause=\"{cause}\""),
         }
     }
@@ -125,47 +125,48 @@
         });
     }
 
-    /// Sends a message as a JSON-RPC call.
-    pub fn call(&self, to: Member, body: Body) {
+    /// Sends a message by JSON-RPC, whatever its size.
+    pub fn send_by_rpc(&self, to: Member, body: Body) {
         let envelope = self.envelope(body);
-        self.deliver(to, envelope);
+        self.spawn_rpc(to, envelope);
     }
 
-    fn deliver(&self, to: Member, envelope: Envelope) {
-        let post = self.clone();
+    fn spawn_rpc(&self, to: Member, envelope: Envelope) {
+        let sender = self.clone();
         task::spawn(async move {
-            if let Err(cause) = post.try_deliver(&to, &envelope).await {
+            if let Err(cause) = sender.send_rpc(&to, &envelope).await {
                 log::debug!("event=deliver_failed node={} cause=\"{cause}\"", to.node);
             }
         });
     }
 
-    async fn try_deliver(&self, to: &Member, envelope: &Envelope) -> http_types::Result<()> {
+    async fn send_rpc(&self, to: &Member, envelope: &Envelope) -> http_types::Result<()> {
         let address: SocketAddr = to.callers.parse()?;
         let params = RawValue::from_string(serde_json::to_string(&[envelope])?)?;
-        let call = Call::borrowed(DELIVER, Some(&params), Id::Number(envelope.sequence));
-        let text = serde_json::to_string(&call)?;
+        let rpc =
+            RpcRequest::borrowed(DELIVER_METHOD, Some(&params), Id::Number(envelope.sequence));
+        let text = serde_json::to_string(&rpc)?;
         self.metrics
             .count_message("out", kind(&envelope.body), text.len());
         let mut request = Request::new(Method::Post, client::url(address, PATH)?);
         request.set_body(text);
         request.set_content_type(mime::JSON);
-        let broken = |cause: client::Error| {
+        let bad_gateway = |cause: client::Error| {
             http_types::Error::new(http_types::StatusCode::BadGateway, cause)
         };
         let stream = self
             .dial
             .connect(&to.place, address)
             .await
-            .map_err(broken)?;
-        client::send(stream, request, PATIENCE)
+            .map_err(bad_gateway)?;
+        client::send(stream, request, RPC_TIMEOUT)
             .await
-            .map_err(broken)?;
+            .map_err(bad_gateway)?;
         Ok(())
     }
 }
 
-/// Name of a message for the byte counters.
+/// Returns the label of a message in the byte counters.
 fn kind(body: &Body) -> &'static str {
     match body {
         Body::Gossip(_) => "gossip",
@@ -188,14 +189,16 @@
     }
 }
 
-/// Receives datagrams until the task is cancelled; what cannot be read is counted and dropped.
+/// Receives datagrams until the task is cancelled.
+///
+/// Datagrams that cannot be decoded are counted and dropped.
 pub async fn receive(socket: Arc<UdpSocket>, handle: Handle, metrics: Arc<Metrics>) {
     let mut buffer = vec![0; MAX_DATAGRAM + 1];
     loop {
         let (size, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(cause) => {
-                // A peer's closed port comes back as an error of this socket.
+                // The closed port of a peer is reported as an error of this socket.
                 log::debug!("event=receive_failed cause=\"{cause}\"");
                 continue;
             }
@@ -213,25 +216,25 @@
     }
 }
 
-/// Answers one JSON-RPC call of a peer.
-pub async fn answer(text: &[u8], from: IpAddr, handle: &Handle, metrics: &Metrics) -> String {
-    let Ok(call) = serde_json::from_slice::<Call<'_>>(text) else {
-        return error(Id::Null, -32_700, "the call is not JSON-RPC");
+/// Handles a peer's JSON-RPC request and returns the text of the response.
+pub async fn answer_rpc(text: &[u8], from: IpAddr, handle: &Handle, metrics: &Metrics) -> String {
+    let Ok(request) = serde_json::from_slice::<RpcRequest<'_>>(text) else {
+        return error_response(Id::Null, -32_700, "the call is not JSON-RPC");
     };
-    if call.method != DELIVER {
-        return error(call.id, -32_601, "unknown method");
+    if request.method != DELIVER_METHOD {
+        return error_response(request.id, -32_601, "unknown method");
     }
-    let params = call.params.as_ref().map_or("", |params| params.get());
+    let params = request.params.as_ref().map_or("", |params| params.get());
     let Ok([envelope]) = serde_json::from_str::<[Envelope; 1]>(params) else {
-        return error(call.id, -32_602, "the parameter is not one envelope");
+        return error_response(request.id, -32_602, "the parameter is not one envelope");
     };
     metrics.count_message("in", kind(&envelope.body), text.len());
     handle.send_input(Input::Message(envelope, from)).await;
     let payload = ResponsePayload::success(true);
-    serde_json::to_string(&Response::new(payload, call.id)).unwrap_or_default()
+    serde_json::to_string(&Response::new(payload, request.id)).unwrap_or_default()
 }
 
-fn error(id: Id<'_>, code: i32, message: &str) -> String {
+fn error_response(id: Id<'_>, code: i32, message: &str) -> String {
     let object = jsonrpsee_types::ErrorObject::owned::<()>(code, message, None);
     let payload = ResponsePayload::<()>::error(object);
     serde_json::to_string(&Response::new(payload, id)).unwrap_or_default()
--- a/crates/peridotdeck-router/src/platform.rs
+++ b/crates/peridotdeck-router/src/platform.rs
@@ -1,7 +1,7 @@
 //! Watches of the configuration service and the VM list.
 //!
-//! Only the watchers of a data centre keep a blocking query open; the others look rarely, in case
-//! that every watcher is cut off from the platform alone.
+//! Only the watchers of a data centre keep a blocking query open. Other nodes query rarely, in case
+//! all watchers have lost the platform but not their peers.
 
 use std::{net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
@@ -15,95 +15,103 @@
 
 use crate::{dial::Dial, handle::Handle};
 
-/// Time for which a blocking query waits at the service.
-const WAIT: Duration = Duration::from_secs(10);
+/// Longest time for which the service holds a blocking query open.
+const BLOCKING_QUERY_WAIT: Duration = Duration::from_secs(10);
 
-/// Extra time for the answer of a blocking query.
-const GRACE: Duration = Duration::from_secs(2);
+/// Extra time for the response head of a blocking query, and the longest time for its body.
+const RESPONSE_MARGIN: Duration = Duration::from_secs(2);
 
-/// Rest after a failed query.
-const REST: Duration = Duration::from_millis(500);
+/// Mean delay after a failed query.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Rest after an answer that brought nothing new into force.
-const IDLE: Duration = Duration::from_millis(250);
+/// Delay after an answer without a newer revision, and between a non-watcher's checks.
+const IDLE_DELAY: Duration = Duration::from_millis(250);
 
-/// Time between two looks of a node that is no watcher.
-const RARE: Duration = Duration::from_secs(30);
+/// Time between two queries of a node that is no watcher, before 20% jitter.
+const NON_WATCHER_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Largest answer in bytes: all parts of a large fleet.
-const MAX_ANSWER: usize = 16 << 20;
+/// Largest answer in bytes; it holds all parts of a large fleet's configuration.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
+/// Answer of `/v1/config`.
 #[derive(Debug, Deserialize)]
 struct Config {
     index: u64,
     parts: Vec<Part>,
 }
 
+/// Answer of `/v1/vms`.
 #[derive(Debug, Deserialize)]
-struct Vms {
+struct VmList {
     index: u64,
     members: Vec<Member>,
 }
 
-/// One of the two watches.
+/// Resource that a task watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Subject {
+pub enum Resource {
     /// Configuration parts.
     Config,
     /// The VM list.
-    Vms,
+    VmList,
 }
 
-/// Watches one subject until the task is cancelled.
+/// Watches one resource and sends its changes to the driver, until the task is cancelled.
+///
+/// After a failed query, the next one goes to the next address.
 pub async fn watch<D: Dial>(
-    subject: Subject,
+    resource: Resource,
     addresses: Vec<SocketAddr>,
     dial: D,
     handle: Handle,
     seed: u64,
 ) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut turn = 0;
+    let mut failures = 0;
     let mut idle = Duration::ZERO;
     loop {
         let watching = handle.shared.watching.load(Ordering::Relaxed);
-        if !watching && idle < RARE.mul_f64(rng.random_range(0.8..1.2)) {
-            task::sleep(IDLE).await;
-            idle += IDLE;
+        if !watching && idle < NON_WATCHER_INTERVAL.mul_f64(rng.random_range(0.8..1.2)) {
+            task::sleep(IDLE_DELAY).await;
+            idle += IDLE_DELAY;
             continue;
         }
         idle = Duration::ZERO;
-        let wait = if watching { WAIT } else { Duration::ZERO };
-        let address = addresses[turn % addresses.len()];
-        match query(subject, address, wait, &dial, &handle).await {
+        let wait = if watching {
+            BLOCKING_QUERY_WAIT
+        } else {
+            Duration::ZERO
+        };
+        let address = addresses[failures % addresses.len()];
+        match query(resource, address, wait, &dial, &handle).await {
             Ok(delta) => {
-                let news = is_news(subject, &delta, &handle);
+                let changed = is_newer(resource, &delta, &handle);
                 handle.send(Event::Published(delta)).await;
-                task::sleep(if news {
+                task::sleep(if changed {
                     Duration::from_millis(20)
                 } else {
-                    IDLE
+                    IDLE_DELAY
                 })
                 .await;
             }
             Err(cause) => {
                 log::debug!("event=platform_failed address={address} cause=\"{cause}\"");
-                turn += 1;
-                task::sleep(REST.mul_f64(rng.random_range(0.5..1.5))).await;
+                failures += 1;
+                task::sleep(RETRY_DELAY.mul_f64(rng.random_range(0.5..1.5))).await;
             }
         }
     }
 }
 
-fn is_news(subject: Subject, delta: &Delta, handle: &Handle) -> bool {
-    match subject {
-        Subject::Config => delta.to > handle.shared.config_revision.load(Ordering::Relaxed),
-        Subject::Vms => delta.roster > handle.shared.vm_list_revision.load(Ordering::Relaxed),
+fn is_newer(resource: Resource, delta: &Delta, handle: &Handle) -> bool {
+    match resource {
+        Resource::Config => delta.to > handle.shared.config_revision.load(Ordering::Relaxed),
+        Resource::VmList => delta.roster > handle.shared.vm_list_revision.load(Ordering::Relaxed),
     }
 }
 
 async fn query<D: Dial>(
-    subject: Subject,
+    resource: Resource,
     address: SocketAddr,
     wait: Duration,
     dial: &D,
@@ -112,35 +120,35 @@
     if !dial.reaches_platform() {
         return Err(http_types::Error::from_str(
             504,
-            "the platform is out of reach",
+            "the platform cannot be reached",
         ));
     }
-    let (path, index) = match subject {
-        Subject::Config => (
+    let (path, index) = match resource {
+        Resource::Config => (
             "/v1/config",
             handle.shared.config_revision.load(Ordering::Relaxed),
         ),
-        Subject::Vms => (
+        Resource::VmList => (
             "/v1/vms",
             handle.shared.vm_list_revision.load(Ordering::Relaxed),
         ),
     };
     let path = format!("{path}?index={index}&wait_ms={}", wait.as_millis());
-    let (from, mut delta) = (index, empty());
-    match subject {
-        Subject::Config => {
-            let answer: Config = read(address, &path, wait).await?;
+    let (from, mut delta) = (index, empty_delta());
+    match resource {
+        Resource::Config => {
+            let answer: Config = fetch(address, &path, wait).await?;
             (delta.from, delta.to, delta.parts) = (from, answer.index, answer.parts);
         }
-        Subject::Vms => {
-            let answer: Vms = read(address, &path, wait).await?;
+        Resource::VmList => {
+            let answer: VmList = fetch(address, &path, wait).await?;
             (delta.roster, delta.members) = (answer.index, answer.members);
         }
     }
     Ok(delta)
 }
 
-fn empty() -> Delta {
+fn empty_delta() -> Delta {
     Delta {
         nonce: 0,
         from: 0,
@@ -151,24 +159,24 @@
     }
 }
 
-async fn read<T: DeserializeOwned>(
+async fn fetch<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
     wait: Duration,
 ) -> http_types::Result<T> {
     let request = Request::get(client::url(address, path)?);
-    let broken = |cause| http_types::Error::new(http_types::StatusCode::BadGateway, cause);
-    let mut response = client::call(address, request, wait + GRACE)
+    let bad_gateway = |cause| http_types::Error::new(http_types::StatusCode::BadGateway, cause);
+    let mut response = client::call(address, request, wait + RESPONSE_MARGIN)
         .await
-        .map_err(broken)?;
+        .map_err(bad_gateway)?;
     if !response.status().is_success() {
         return Err(http_types::Error::from_str(
             502,
-            "the platform answered with an error",
+            "the platform answered with an error status",
         ));
     }
-    let body = timeout(GRACE, response.body_bytes()).await??;
-    if body.len() > MAX_ANSWER {
+    let body = timeout(RESPONSE_MARGIN, response.body_bytes()).await??;
+    if body.len() > MAX_ANSWER_BYTES {
         return Err(http_types::Error::from_str(
             502,
             "the platform's answer is too large",
--- a/crates/peridotdeck-router/src/router.rs
+++ b/crates/peridotdeck-router/src/router.rs
@@ -1,4 +1,4 @@
-//! A whole entry router: sockets, tasks and the core, started and stopped together.
+//! An entry router: its sockets, tasks and decision core, started and stopped together.
 
 use std::{
     io,
@@ -20,24 +20,24 @@
     platform,
 };
 
-/// Time between two looks at a draining node.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+/// Time between two checks whether a draining node is idle.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a router is started with besides its settings.
+/// Parameters with which a router starts, besides its settings.
 #[derive(Clone, Debug)]
 pub struct Options<D> {
-    /// The network.
+    /// Network by which connections and datagrams leave the process.
     pub dial: D,
-    /// Queueing and placement.
+    /// Strategy for queueing and placement.
     pub strategy: Strategy,
-    /// Seed of all randomness.
+    /// Seed of the router's random numbers.
     pub seed: u64,
-    /// Start of the process; later starts of the same VM must have a higher one.
+    /// Incarnation of the process, higher than that of any earlier process of this VM.
     pub incarnation: u64,
 }
 
 impl<D> Options<D> {
-    /// Options of the product: the wall clock gives incarnation and seed.
+    /// Returns the options of the product, with incarnation and seed from the wall clock.
     #[must_use]
     pub fn from_clock(dial: D) -> Self {
         let since = SystemTime::now()
@@ -53,7 +53,9 @@
     }
 }
 
-/// Sockets that are bound before the router runs, so that the VM list can name their ports.
+/// The peers' socket and the callers' address, known before the router starts.
+///
+/// The socket is bound early, so that the VM list can name its port.
 #[derive(Debug)]
 pub struct Sockets {
     udp: UdpSocket,
@@ -61,10 +63,10 @@
 }
 
 impl Sockets {
-    /// Binds the peers' socket of the settings.
+    /// Binds the peers' socket and parses the callers' address, both from the settings.
     ///
     /// # Errors
-    /// If an address cannot be parsed or bound.
+    /// If an address cannot be parsed, or the peers' address cannot be bound.
     pub async fn bind(settings: &Settings) -> io::Result<Self> {
         let parse = |text: &str| text.parse::<SocketAddr>().map_err(io::Error::other);
         let udp = UdpSocket::bind(parse(&settings.peers)?).await?;
@@ -83,7 +85,7 @@
     }
 }
 
-/// A running entry router; dropping it kills it as a crash would.
+/// A running entry router. Dropping it ends it abruptly, as a crash would.
 #[derive(Debug)]
 pub struct Router {
     handle: Handle,
@@ -91,14 +93,14 @@
     server: Option<Server>,
     address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
-    drain: Duration,
+    drain_timeout: Duration,
 }
 
 impl Router {
-    /// Starts a router.
+    /// Starts the tasks and the server of a router.
     ///
     /// # Errors
-    /// If an address cannot be bound.
+    /// If the callers' address cannot be bound.
     pub async fn start<D: Dial>(
         settings: Settings,
         sockets: Sockets,
@@ -109,7 +111,7 @@
         let socket = Arc::new(sockets.udp);
         let identity = peers::Identity::new(settings.node, options.incarnation, &settings.place);
         let dial = options.dial.clone();
-        let post = peers::Post::new(
+        let sender = peers::Sender::new(
             identity,
             Arc::clone(&socket),
             dial.clone(),
@@ -131,7 +133,7 @@
             node,
             (handle.clone(), inputs),
             dial,
-            post,
+            sender,
             Arc::clone(&metrics),
             seeds,
         );
@@ -139,9 +141,10 @@
             task::spawn(driver.run()),
             task::spawn(peers::receive(socket, handle.clone(), Arc::clone(&metrics))),
         ];
-        tasks.extend(watches(&settings, &handle, &options));
-        let drain = Duration::from_secs(settings.drain_s.into());
-        let server = serve(settings, sockets.callers, &handle, &metrics, options.dial).await?;
+        tasks.extend(spawn_watches(&settings, &handle, &options));
+        let drain_timeout = Duration::from_secs(settings.drain_s.into());
+        let server =
+            start_server(settings, sockets.callers, &handle, &metrics, options.dial).await?;
         let address = server.address();
         log::info!("event=started node={} address={address}", identity.node);
         Ok(Self {
@@ -150,7 +153,7 @@
             server: Some(server),
             address,
             tasks,
-            drain,
+            drain_timeout,
         })
     }
 
@@ -160,37 +163,38 @@
         self.address
     }
 
-    /// Returns the way to the core.
+    /// Returns the handle to the driver.
     #[must_use]
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// Returns the series.
+    /// Returns the router's metrics.
     #[must_use]
     pub fn metrics(&self) -> &Arc<Metrics> {
         &self.metrics
     }
 
-    /// Shuts down gracefully: takes no new work, lets every request end, then stops.
+    /// Stops taking requests and waits until those in flight have ended.
     ///
-    /// Returns whether all requests ended within the settings' drain time.
+    /// Returns whether all requests ended within the settings' drain time. The tasks keep running
+    /// until [`Router::stop`].
     pub async fn drain(&self) -> bool {
         self.handle.send(Event::Drain).await;
         let started = Instant::now();
-        while started.elapsed() < self.drain {
+        while started.elapsed() < self.drain_timeout {
             let idle = self.handle.inspect(|node, _| node.is_idle()).await;
             if idle != Some(false) {
                 log::info!("event=drained ms={}", started.elapsed().as_millis());
                 return true;
             }
-            task::sleep(DRAIN_LOOK).await;
+            task::sleep(DRAIN_CHECK_INTERVAL).await;
         }
         log::warn!("event=drain_incomplete");
         false
     }
 
-    /// Stops all tasks at once.
+    /// Stops the server and all tasks without waiting for requests.
     pub async fn stop(mut self) {
         if let Some(server) = self.server.take() {
             server.stop().await;
@@ -209,7 +213,7 @@
     }
 }
 
-fn watches<D: Dial>(
+fn spawn_watches<D: Dial>(
     settings: &Settings,
     handle: &Handle,
     options: &Options<D>,
@@ -217,23 +221,23 @@
     let platform: Vec<SocketAddr> = settings
         .platform
         .iter()
-        .filter_map(|each| each.parse().ok())
+        .filter_map(|address| address.parse().ok())
         .collect();
-    let subjects = [platform::Subject::Vms, platform::Subject::Config];
-    let watch = |subject| {
+    let resources = [platform::Resource::VmList, platform::Resource::Config];
+    let watch = |resource| {
         let (dial, handle) = (options.dial.clone(), handle.clone());
         task::spawn(platform::watch(
-            subject,
+            resource,
             platform.clone(),
             dial,
             handle,
             options.seed,
         ))
     };
-    subjects.map(watch).into()
+    resources.map(watch).into()
 }
 
-async fn serve<D: Dial>(
+async fn start_server<D: Dial>(
     settings: Settings,
     address: SocketAddr,
     handle: &Handle,
@@ -244,13 +248,13 @@
         head: Duration::from_millis(settings.body_timeout_ms.into()),
         connections: settings.open_connections as usize,
     };
-    let desk = callers::Desk {
+    let state = callers::Desk {
         handle: handle.clone(),
         dial,
         metrics: Arc::clone(metrics),
         settings,
     };
-    let mut app = tide::with_state(Arc::new(desk));
+    let mut app = tide::with_state(Arc::new(state));
     operators::add_routes(&mut app);
     callers::route(&mut app);
     let respond = move |request| {
