--- a/crates/peridotdeck-relay/src/fetch.rs
+++ b/crates/peridotdeck-relay/src/fetch.rs
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddrV4,
-    link: Option<Connection>,
+    connection: Option<Connection>,
 }
 
 impl Client {
@@ -58,7 +58,7 @@
     pub fn new(address: SocketAddrV4) -> Self {
         Self {
             address,
-            link: None,
+            connection: None,
         }
     }
 
@@ -70,26 +70,29 @@
     /// # Errors
     /// Returns an error if the response is not complete in time, or its status is not 200.
     pub async fn get(&mut self, path: &str, time_limit: Duration) -> Result<Bytes, Error> {
-        let idle = self.link.take().filter(|link| link.sender.is_ready());
+        let idle = self
+            .connection
+            .take()
+            .filter(|connection| connection.sender.is_ready());
         let exchange = async {
-            let mut link = match idle {
-                Some(link) => link,
+            let mut connection = match idle {
+                Some(connection) => connection,
                 None => pool::dial(self.address, || ()).await?,
             };
             let request = Request::get(path)
                 .header(header::HOST, self.address.to_string())
                 .body(Full::new(Bytes::new()))
                 .map_err(|cause| Error::Invalid(cause.to_string()))?;
-            let (head, body) = link.sender.send_request(request).await?.into_parts();
+            let (head, body) = connection.sender.send_request(request).await?.into_parts();
             let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
             let body = body.map_err(|cause| Error::Invalid(cause.to_string()))?;
-            Ok((link, head.status, body.to_bytes()))
+            Ok((connection, head.status, body.to_bytes()))
         };
         let result: Result<_, Error> = timeout(time_limit, exchange)
             .await
             .unwrap_or(Err(Error::TimedOut));
-        let (link, status, body) = result?;
-        self.link = Some(link);
+        let (connection, status, body) = result?;
+        self.connection = Some(connection);
         if status == StatusCode::OK {
             Ok(body)
         } else {
