--- a/crates/peridotdeck-core/tests/testsuite/dispatch.rs
+++ b/crates/peridotdeck-core/tests/testsuite/dispatch.rs
@@ -1,4 +1,4 @@
-//! Support: a small fleet of dispatchers with a configuration and endpoints.
+//! Support for the tests of `peridotdeck_core::dispatch`: a configuration, endpoints and nodes.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -16,6 +16,7 @@
     registry::{Area, Change, Endpoint, Fact, Report},
 };
 
+/// Data centres, each with its region.
 pub const REGIONS: [(&str, &str); 3] = [
     ("augsburg", "schwaben"),
     ("muenchen", "oberbayern"),
@@ -30,13 +31,13 @@
     Ipv4Addr::new(10, 0, 0, number)
 }
 
-pub fn options(number: u8, place: &str) -> Options {
+pub fn options(number: u8, data_centre: &str) -> Options {
     Options {
         node: node(number),
-        data_centre: place.to_owned(),
+        data_centre: data_centre.to_owned(),
         regions: REGIONS
             .iter()
-            .map(|(place, region)| ((*place).to_owned(), (*region).to_owned()))
+            .map(|(data_centre, region)| ((*data_centre).to_owned(), (*region).to_owned()))
             .collect(),
         seeds: vec![node(1), node(2)],
         retry_bound: Bound {
@@ -50,7 +51,7 @@
     }
 }
 
-/// A route of the one service with a batching engine, or of the plain one.
+/// Returns a route to the service of batching engines for streams, else to the plain service.
 pub fn route(name: &str, kind: Kind, attempts: u32) -> Route {
     Route {
         name: name.to_owned(),
@@ -68,6 +69,7 @@
     }
 }
 
+/// Returns the service with a model engine for streams, else the plain one.
 fn service_of(kind: Kind) -> &'static str {
     if kind == Kind::Stream { "text" } else { "desk" }
 }
@@ -116,14 +118,14 @@
     .indexed()
 }
 
-pub fn endpoint(id: &str, service: &str, place: &str) -> Endpoint {
-    let last = id.bytes().fold(0, u8::wrapping_add);
+pub fn endpoint(id: &str, service: &str, data_centre: &str) -> Endpoint {
+    let last_octet = id.bytes().fold(0, u8::wrapping_add);
     Endpoint {
         id: id.to_owned(),
         born: 1,
         service: service.to_owned(),
-        address: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, last), 80),
-        data_centre: place.to_owned(),
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, last_octet), 80),
+        data_centre: data_centre.to_owned(),
         slots: 6,
         draining: false,
         cold: Duration::ZERO,
@@ -140,16 +142,16 @@
     }
 }
 
-/// A node of a data centre that knows the configuration and some endpoints.
-pub fn dispatcher(number: u8, place: &str, endpoints: &[Endpoint]) -> Dispatcher {
-    know(
-        Dispatcher::new(options(number, place), Duration::ZERO),
+/// Returns a node that has received the configuration and the given endpoints.
+pub fn dispatcher(number: u8, data_centre: &str, endpoints: &[Endpoint]) -> Dispatcher {
+    configure(
+        Dispatcher::new(options(number, data_centre), Duration::ZERO),
         endpoints,
     )
 }
 
-/// Tells a node the configuration and some endpoints.
-pub fn know(mut dispatcher: Dispatcher, endpoints: &[Endpoint]) -> Dispatcher {
+/// Reports the configuration and the given endpoints to a node.
+pub fn configure(mut dispatcher: Dispatcher, endpoints: &[Endpoint]) -> Dispatcher {
     let facts = vec![Fact::Config(config(1))];
     dispatcher.apply_report(report(Area::Policy, 1, true, facts), Duration::ZERO);
     let facts = endpoints.iter().cloned().map(Fact::Endpoint).collect();
@@ -157,12 +159,12 @@
     dispatcher
 }
 
-/// A second report of the endpoint list.
+/// Reports one change of the endpoint list to a node.
 pub fn publish(dispatcher: &mut Dispatcher, revision: u64, fact: Fact, now: Duration) -> Change {
     dispatcher.apply_report(report(Area::Roster, revision, false, vec![fact]), now)
 }
 
-pub fn ask(route: &str) -> DecodedRequest {
+pub fn decoded_request(route: &str) -> DecodedRequest {
     DecodedRequest {
         id: "id".to_owned(),
         host: "host".to_owned(),
@@ -173,7 +175,9 @@
     }
 }
 
-/// A prompt whose first part is shared by all and whose second by those of a subject.
+/// Returns a prompt of two shared parts and `own` tokens that no other prompt shares.
+///
+/// All prompts share the first part; those of the same subject share the second one too.
 pub fn prompt(subject: Prefix, shared: u32, own: u32) -> Prompt {
     let parts = [(1, 500), (subject, shared)];
     let shared: Vec<Part> = parts
@@ -193,13 +197,13 @@
     }
 }
 
-pub fn admit(dispatcher: &mut Dispatcher, ask: DecodedRequest, now: Duration) -> Flight {
-    dispatcher.admit(ask, 7, now).expect("admitted")
+pub fn admit(dispatcher: &mut Dispatcher, request: DecodedRequest, now: Duration) -> Flight {
+    dispatcher.admit(request, 7, now).expect("admitted")
 }
 
-pub fn sent(placement: Placement) -> Assignment {
+pub fn expect_sent(placement: Placement) -> Assignment {
     match placement {
-        Placement::Send(order) => order,
-        other => panic!("not sent: {other:?}"),
+        Placement::Send(assignment) => assignment,
+        other => panic!("expected an assignment, got {other:?}"),
     }
 }
--- a/crates/peridotdeck-core/tests/testsuite/fleet_beats.rs
+++ b/crates/peridotdeck-core/tests/testsuite/fleet_beats.rs
@@ -1,4 +1,4 @@
-//! Nodes find each other, tell their load, and notice silence.
+//! Heartbeats: nodes discover each other, announce their load and detect silent peers.
 
 use std::time::Duration;
 
@@ -12,13 +12,15 @@
 use peridotdeck_wire::{beat::Beat, pack, unpack};
 
 use crate::dispatch::{
-    REGIONS, admit, ask, config, dispatcher, endpoint, know, ms, node, options, prompt, report,
+    REGIONS, admit, config, configure, decoded_request, dispatcher, endpoint, ms, node, options,
+    prompt, report,
 };
 
-/// Nodes whose beats arrive at once, but for those that a test cuts.
+/// Nodes whose heartbeats arrive at once, except to and from the nodes in `cut`.
 struct Fleet {
     nodes: Vec<(Node, Dispatcher)>,
     cut: Vec<Node>,
+    /// Bytes of all heartbeats sent, delivered or not.
     bytes: usize,
 }
 
@@ -27,36 +29,36 @@
         let numbered = nodes.into_iter().enumerate();
         Self {
             nodes: numbered
-                .map(|(at, each)| (node(at as u8 + 1), each))
+                .map(|(index, dispatcher)| (node(index as u8 + 1), dispatcher))
                 .collect(),
             cut: Vec::new(),
             bytes: 0,
         }
     }
 
-    fn run(&mut self, from: u64, to: u64) {
-        for at in (from..to).step_by(25) {
+    fn run(&mut self, from_ms: u64, to_ms: u64) {
+        for now_ms in (from_ms..to_ms).step_by(25) {
             for sender in 0..self.nodes.len() {
-                let beats = self.nodes[sender].1.tick(ms(at)).heartbeats;
-                for (to, beat) in beats {
-                    self.deliver(sender, to, &beat, ms(at));
+                let heartbeats = self.nodes[sender].1.tick(ms(now_ms)).heartbeats;
+                for (to, heartbeat) in heartbeats {
+                    self.deliver(sender, to, &heartbeat, ms(now_ms));
                 }
             }
         }
     }
 
-    fn deliver(&mut self, sender: usize, to: Node, beat: &Beat, now: Duration) {
-        let bytes = pack(beat).expect("fits a datagram");
+    fn deliver(&mut self, sender: usize, to: Node, heartbeat: &Beat, now: Duration) {
+        let bytes = pack(heartbeat).expect("fits a datagram");
         self.bytes += bytes.len();
         if self.cut.contains(&to) || self.cut.contains(&self.nodes[sender].0) {
             return;
         }
-        let beat = unpack(&bytes).expect("our own encoding");
-        let Some(at) = self.nodes.iter().position(|(each, _)| *each == to) else {
+        let heartbeat = unpack(&bytes).expect("the encoding that was just packed");
+        let Some(index) = self.nodes.iter().position(|(node, _)| *node == to) else {
             return;
         };
-        if let Some(answer) = self.nodes[at].1.receive(&beat, now).0 {
-            self.nodes[sender].1.receive(&answer, now);
+        if let Some(response) = self.nodes[index].1.receive(&heartbeat, now).0 {
+            self.nodes[sender].1.receive(&response, now);
         }
     }
 }
@@ -65,31 +67,31 @@
     ["a", "b", "c"]
         .iter()
         .zip(REGIONS)
-        .map(|(id, (place, _))| endpoint(id, "text", place))
+        .map(|(id, (data_centre, _))| endpoint(id, "text", data_centre))
         .collect()
 }
 
-/// As many nodes in each data centre, which know only two seeds.
-fn fleet(each: usize) -> Fleet {
-    let nodes = (0..3 * each).map(|at| {
-        let (place, _) = REGIONS[at % 3];
-        dispatcher(at as u8 + 1, place, &endpoints())
+/// Returns a fleet with `per_data_centre` nodes in each; a node knows only two seeds at first.
+fn fleet(per_data_centre: usize) -> Fleet {
+    let nodes = (0..3 * per_data_centre).map(|index| {
+        let (data_centre, _) = REGIONS[index % 3];
+        dispatcher(index as u8 + 1, data_centre, &endpoints())
     });
     Fleet::new(nodes.collect())
 }
 
 #[test]
-fn everyone_finds_everyone_by_two_seeds() {
+fn all_nodes_discover_each_other_through_two_seeds() {
     let mut fleet = fleet(3);
     fleet.run(0, 2_000);
-    for (node, each) in &fleet.nodes {
-        let members = each.fleet().members(ms(2_000));
+    for (node, dispatcher) in &fleet.nodes {
+        let members = dispatcher.fleet().members(ms(2_000));
         assert_eq!(members.len(), 8, "{node} knows {members:?}");
     }
 }
 
 #[test]
-fn silent_peer_is_dropped_and_comes_back() {
+fn silent_peer_is_removed_and_can_return() {
     let mut fleet = fleet(2);
     fleet.run(0, 1_000);
     fleet.cut = vec![node(4)];
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn leaving_peer_is_gone_at_once() {
+fn leaving_peer_is_removed_at_once() {
     let mut fleet = fleet(2);
     fleet.run(0, 1_000);
     fleet.nodes[3].1.leave();
@@ -119,14 +121,14 @@
 }
 
 #[test]
-fn load_of_peers_is_known_near_soon_and_far_in_sum() {
+fn load_is_known_soon_within_a_data_centre_and_elsewhere_as_a_sum() {
     let mut fleet = fleet(2);
     fleet.run(0, 1_000);
-    for at in [0, 3] {
-        let sender = &mut fleet.nodes[at].1;
-        let mut ask = ask("bulk");
-        ask.prompt = prompt(9, 3_000, 500);
-        let mut flight = admit(sender, ask, ms(1_000));
+    for index in [0, 3] {
+        let sender = &mut fleet.nodes[index].1;
+        let mut request = decoded_request("bulk");
+        request.prompt = prompt(9, 3_000, 500);
+        let mut flight = admit(sender, request, ms(1_000));
         assert!(matches!(
             sender.place(&mut flight, ms(1_000)),
             Placement::Send(_)
@@ -134,16 +136,16 @@
     }
     fleet.run(1_000, 1_060);
     let key = endpoints()[0].key();
-    let running = |at: usize, fleet: &Fleet| {
-        let states = fleet.nodes[at].1.states();
+    let running = |index: usize, fleet: &Fleet| {
+        let states = fleet.nodes[index].1.states();
         let state = states.iter().find(|state| state.key == key);
         state.expect("listed").load().running
     };
     assert_eq!(running(0, &fleet), 2);
     assert_eq!(running(3, &fleet), 2);
     fleet.run(1_060, 2_200);
-    for at in [1, 2, 4, 5] {
-        assert_eq!(running(at, &fleet), 2, "node {at} hears the sum");
+    for index in [1, 2, 4, 5] {
+        assert_eq!(running(index, &fleet), 2, "node {index} receives the sum");
     }
 }
 
@@ -152,68 +154,83 @@
     states.map(|state| state.load().running).sum()
 }
 
-fn send(node: &mut Dispatcher, subject: u64, now: Duration) {
-    let mut ask = ask("bulk");
-    ask.prompt = prompt(subject, 3_000, 30_000);
-    let mut flight = admit(node, ask, now);
+fn send_request(node: &mut Dispatcher, subject: u64, now: Duration) {
+    let mut request = decoded_request("bulk");
+    request.prompt = prompt(subject, 3_000, 30_000);
+    let mut flight = admit(node, request, now);
     assert!(matches!(node.place(&mut flight, now), Placement::Send(_)));
 }
 
 #[test]
-fn load_is_told_of_every_endpoint_however_many() {
+fn load_of_every_endpoint_is_announced_however_many() {
     const ENDPOINTS: usize = 120;
-    let ids: Vec<String> = (0..ENDPOINTS).map(|at| format!("e{at}")).collect();
+    let ids: Vec<String> = (0..ENDPOINTS).map(|number| format!("e{number}")).collect();
     let endpoints: Vec<Endpoint> = ids
         .iter()
         .map(|id| endpoint(id, "text", REGIONS[0].0))
         .collect();
-    let nodes = (0..4).map(|at| dispatcher(at + 1, REGIONS[usize::from(at % 2)].0, &endpoints));
+    let nodes =
+        (0..4).map(|index| dispatcher(index + 1, REGIONS[usize::from(index % 2)].0, &endpoints));
     let mut fleet = Fleet::new(nodes.collect());
     fleet.run(0, 1_000);
     for subject in 0..ENDPOINTS as u64 {
-        send(&mut fleet.nodes[0].1, subject, ms(1_000));
+        send_request(&mut fleet.nodes[0].1, subject, ms(1_000));
     }
     let states = fleet.nodes[0].1.states().iter();
     let busy = states.filter(|state| state.own_load.running > 0).count();
     assert!(busy > 80, "{busy} endpoints have work");
     fleet.run(1_000, 2_200);
-    for (node, each) in &fleet.nodes {
-        assert_eq!(running(each), ENDPOINTS as u32, "at {node}");
+    for (node, dispatcher) in &fleet.nodes {
+        assert_eq!(running(dispatcher), ENDPOINTS as u32, "at {node}");
     }
 }
 
 #[test]
-fn region_hears_of_load_sooner_than_others() {
-    const EACH: usize = 8;
-    let places = [("east", "home"), ("west", "home"), ("south", "abroad")];
-    let regions = places.map(|(place, region)| (place.to_owned(), region.to_owned()));
+fn load_reaches_the_same_region_sooner_than_others() {
+    const NODES_PER_DATA_CENTRE: usize = 8;
+    let data_centres = [("east", "home"), ("west", "home"), ("south", "abroad")];
+    let regions =
+        data_centres.map(|(data_centre, region)| (data_centre.to_owned(), region.to_owned()));
     let endpoints = [endpoint("a", "text", "east")];
-    let nodes = (0..places.len() * EACH).map(|at| {
+    let nodes = (0..data_centres.len() * NODES_PER_DATA_CENTRE).map(|index| {
         let options = Options {
             regions: regions.to_vec(),
-            ..options(at as u8 + 1, places[at % places.len()].0)
+            ..options(index as u8 + 1, data_centres[index % data_centres.len()].0)
         };
-        know(Dispatcher::new(options, Duration::ZERO), &endpoints)
+        configure(Dispatcher::new(options, Duration::ZERO), &endpoints)
     });
     let mut fleet = Fleet::new(nodes.collect());
     fleet.run(0, 2_000);
-    send(&mut fleet.nodes[0].1, 9, ms(2_000));
+    send_request(&mut fleet.nodes[0].1, 9, ms(2_000));
     fleet.run(2_000, 2_250);
-    let knowing = |place: usize| {
-        let there = fleet.nodes.iter().skip(place).step_by(places.len());
-        there.filter(|(_, each)| running(each) == 1).count()
+    let count_informed = |data_centre: usize| {
+        let nodes = fleet
+            .nodes
+            .iter()
+            .skip(data_centre)
+            .step_by(data_centres.len());
+        nodes
+            .filter(|(_, dispatcher)| running(dispatcher) == 1)
+            .count()
     };
-    assert_eq!(knowing(0), EACH);
-    assert_eq!(knowing(1), EACH, "of the same region");
-    assert!(knowing(2) < EACH, "of another region");
+    assert_eq!(count_informed(0), NODES_PER_DATA_CENTRE);
+    assert_eq!(
+        count_informed(1),
+        NODES_PER_DATA_CENTRE,
+        "of the same region"
+    );
+    assert!(
+        count_informed(2) < NODES_PER_DATA_CENTRE,
+        "of another region"
+    );
 }
 
 #[test]
-fn load_of_a_dead_peer_is_forgotten() {
+fn load_of_a_dead_peer_is_discarded() {
     let mut fleet = fleet(2);
     fleet.run(0, 1_000);
     let sender = &mut fleet.nodes[3].1;
-    let mut flight = admit(sender, ask("bulk"), ms(1_000));
+    let mut flight = admit(sender, decoded_request("bulk"), ms(1_000));
     assert!(matches!(
         sender.place(&mut flight, ms(1_000)),
         Placement::Send(_)
@@ -221,18 +238,18 @@
     fleet.run(1_000, 1_500);
     fleet.cut = vec![node(4)];
     fleet.run(1_500, 6_000);
-    for (node, each) in &fleet.nodes[..3] {
-        let foreign: u32 = each
+    for (node, dispatcher) in &fleet.nodes[..3] {
+        let peer_running: u32 = dispatcher
             .states()
             .iter()
             .map(|state| state.peer_load.running)
             .sum();
-        assert_eq!(foreign, 0, "at {node}");
+        assert_eq!(peer_running, 0, "at {node}");
     }
 }
 
 #[test]
-fn node_that_hears_of_a_newer_configuration_fetches_it() {
+fn node_that_learns_of_a_newer_configuration_fetches_it() {
     let mut fleet = fleet(2);
     fleet.run(0, 1_000);
     let facts = vec![Fact::Config(config(2))];
@@ -240,11 +257,11 @@
         .1
         .apply_report(report(Area::Policy, 9, false, facts), ms(1_000));
     let mut snapshot_requests = Vec::new();
-    for at in (1_000..1_500).step_by(25) {
-        for (to, beat) in fleet.nodes[0].1.tick(ms(at)).heartbeats {
-            fleet.deliver(0, to, &beat, ms(at));
+    for now_ms in (1_000..1_500).step_by(25) {
+        for (to, heartbeat) in fleet.nodes[0].1.tick(ms(now_ms)).heartbeats {
+            fleet.deliver(0, to, &heartbeat, ms(now_ms));
         }
-        snapshot_requests.extend(fleet.nodes[3].1.tick(ms(at)).snapshot_requests);
+        snapshot_requests.extend(fleet.nodes[3].1.tick(ms(now_ms)).snapshot_requests);
     }
     assert!(
         snapshot_requests
@@ -260,14 +277,15 @@
 }
 
 #[test]
-fn traffic_of_a_node_grows_with_its_data_centre_only() {
+fn heartbeat_traffic_of_a_node_grows_with_its_data_centre_only() {
     let mut rates = Vec::new();
-    for each in [2, 4, 8] {
-        let mut fleet = fleet(each);
+    for per_data_centre in [2, 4, 8] {
+        let mut fleet = fleet(per_data_centre);
         fleet.run(0, 2_000);
         fleet.bytes = 0;
         fleet.run(2_000, 6_000);
-        rates.push(fleet.bytes as f64 / 4.0 / (3 * each) as f64 / each as f64);
+        rates
+            .push(fleet.bytes as f64 / 4.0 / (3 * per_data_centre) as f64 / per_data_centre as f64);
     }
     assert!(
         rates[2] < rates[0] * 1.5,
--- a/crates/peridotdeck-core/tests/testsuite/overload_waits.rs
+++ b/crates/peridotdeck-core/tests/testsuite/overload_waits.rs
@@ -1,4 +1,4 @@
-//! A burst of the least urgent class: who waits at its node, and until when.
+//! Waits of the least urgent class at its node during an overload, and their ends.
 
 use peridotdeck_core::dispatch::{
     Dispatcher,
@@ -8,13 +8,15 @@
     registry::{Area, Fact},
 };
 
-use crate::dispatch::{admit, ask, config, dispatcher, endpoint, ms, prompt, report, route};
+use crate::dispatch::{
+    admit, config, decoded_request, dispatcher, endpoint, ms, prompt, report, route,
+};
 
-/// Batch of the one endpoint.
-const SLOTS: usize = 64;
+/// Requests that the batch of the only endpoint holds.
+const BATCH_SLOTS: usize = 64;
 
-/// A node with one endpoint and the given routes, in the order of their urgency.
-fn site(names: &[&str]) -> Dispatcher {
+/// Returns a node with one endpoint and the given routes, the most urgent first.
+fn dispatcher_with_routes(names: &[&str]) -> Dispatcher {
     let mut node = dispatcher(1, "muenchen", &[endpoint("a", "text", "muenchen")]);
     let routes = names.iter().enumerate().map(|(priority, name)| {
         Route {
@@ -32,28 +34,28 @@
     node
 }
 
-fn request(node: &mut Dispatcher, route: &str, tokens: u32, at: u64) -> Flight {
-    let mut ask = ask(route);
-    ask.prompt = prompt(at, 10, tokens);
-    admit(node, ask, ms(at))
+fn admit_request(node: &mut Dispatcher, route: &str, tokens: u32, at_ms: u64) -> Flight {
+    let mut request = decoded_request(route);
+    request.prompt = prompt(at_ms, 10, tokens);
+    admit(node, request, ms(at_ms))
 }
 
-/// Sends what the node lets go at once, up to twice a batch, and returns it.
-fn fill(node: &mut Dispatcher, route: &str, tokens: u32) -> Vec<(Flight, Assignment)> {
+/// Admits twice as many requests as a batch holds; returns those that are sent at once.
+fn send_burst(node: &mut Dispatcher, route: &str, tokens: u32) -> Vec<(Flight, Assignment)> {
     let mut sent = Vec::new();
-    for _ in 0..2 * SLOTS {
-        let mut flight = request(node, route, tokens, 0);
-        if let Placement::Send(order) = node.place(&mut flight, ms(0)) {
-            sent.push((flight, order));
+    for _ in 0..2 * BATCH_SLOTS {
+        let mut flight = admit_request(node, route, tokens, 0);
+        if let Placement::Send(assignment) = node.place(&mut flight, ms(0)) {
+            sent.push((flight, assignment));
         }
     }
     sent
 }
 
-fn delay(placement: Placement) -> Delay {
+fn expect_wait(placement: Placement) -> Delay {
     match placement {
         Placement::Wait(delay) => delay,
-        other => panic!("{other:?} in place of a wait"),
+        other => panic!("expected a wait, got {other:?}"),
     }
 }
 
@@ -62,28 +64,32 @@
 }
 
 #[test]
-fn least_urgent_class_leaves_room_in_the_batch() {
-    let mut node = site(&["chat", "bulk"]);
-    let sent = fill(&mut node, "bulk", 10);
-    assert!((50..SLOTS).contains(&sent.len()), "{} sent", sent.len());
-    let mut bulk = request(&mut node, "bulk", 10, 1);
+fn least_urgent_class_leaves_slots_free_for_others() {
+    let mut node = dispatcher_with_routes(&["chat", "bulk"]);
+    let sent = send_burst(&mut node, "bulk", 10);
+    assert!(
+        (50..BATCH_SLOTS).contains(&sent.len()),
+        "{} sent",
+        sent.len()
+    );
+    let mut bulk = admit_request(&mut node, "bulk", 10, 1);
     assert_eq!(
-        delay(node.place(&mut bulk, ms(1))).cause,
+        expect_wait(node.place(&mut bulk, ms(1))).cause,
         WaitCause::Full,
-        "others would displace it"
+        "more urgent requests would displace it"
     );
-    let mut chat = request(&mut node, "chat", 10, 1);
+    let mut chat = admit_request(&mut node, "chat", 10, 1);
     assert!(is_sent(&node.place(&mut chat, ms(1))));
 }
 
 #[test]
-fn room_ends_the_wait() {
-    let mut node = site(&["chat", "bulk"]);
-    let sent = fill(&mut node, "bulk", 10);
-    let mut bulk = request(&mut node, "bulk", 10, 1);
-    delay(node.place(&mut bulk, ms(1)));
-    for (flight, order) in &sent[..SLOTS / 4] {
-        let mut attempt = order.attempt.clone();
+fn free_slots_end_the_wait() {
+    let mut node = dispatcher_with_routes(&["chat", "bulk"]);
+    let sent = send_burst(&mut node, "bulk", 10);
+    let mut bulk = admit_request(&mut node, "bulk", 10, 1);
+    expect_wait(node.place(&mut bulk, ms(1)));
+    for (flight, assignment) in &sent[..BATCH_SLOTS / 4] {
+        let mut attempt = assignment.attempt.clone();
         node.record_answer_start(&mut attempt, false, flight, ms(50));
         node.finish(&attempt, End::Finished, flight, ms(90));
     }
@@ -91,31 +97,31 @@
 }
 
 #[test]
-fn what_would_be_late_waits_for_what_would_not() {
-    let mut node = site(&["chat", "bulk"]);
-    fill(&mut node, "bulk", 20_000);
-    let mut bulk = request(&mut node, "bulk", 20_000, 1);
-    let delay = delay(node.place(&mut bulk, ms(1)));
+fn request_that_would_miss_its_target_waits() {
+    let mut node = dispatcher_with_routes(&["chat", "bulk"]);
+    send_burst(&mut node, "bulk", 20_000);
+    let mut bulk = admit_request(&mut node, "bulk", 20_000, 1);
+    let delay = expect_wait(node.place(&mut bulk, ms(1)));
     assert_eq!(delay.cause, WaitCause::Late);
     assert!(delay.expected > bulk.route.target);
 }
 
 #[test]
 fn wait_is_bounded() {
-    let mut node = site(&["chat", "bulk"]);
-    fill(&mut node, "bulk", 10);
-    let mut bulk = request(&mut node, "bulk", 10, 1);
+    let mut node = dispatcher_with_routes(&["chat", "bulk"]);
+    send_burst(&mut node, "bulk", 10);
+    let mut bulk = admit_request(&mut node, "bulk", 10, 1);
     let target = bulk.route.target;
-    delay(node.place(&mut bulk, ms(1)));
+    expect_wait(node.place(&mut bulk, ms(1)));
     assert!(is_sent(&node.place(&mut bulk, ms(1) + 2 * target)));
 }
 
 #[test]
-fn node_that_leaves_sends_at_once() {
-    let mut node = site(&["chat", "bulk"]);
-    fill(&mut node, "bulk", 10);
+fn leaving_node_sends_at_once() {
+    let mut node = dispatcher_with_routes(&["chat", "bulk"]);
+    send_burst(&mut node, "bulk", 10);
     node.leave();
-    let mut bulk = request(&mut node, "bulk", 10, 1);
+    let mut bulk = admit_request(&mut node, "bulk", 10, 1);
     assert!(is_sent(&node.place(&mut bulk, ms(1))));
 }
 
@@ -126,7 +132,11 @@
         (&["chat", "bulk"], "chat"),
         (&["chat", "tag", "bulk"], "tag"),
     ] {
-        let mut node = site(names);
-        assert_eq!(fill(&mut node, name, 10).len(), 2 * SLOTS, "{name}");
+        let mut node = dispatcher_with_routes(names);
+        assert_eq!(
+            send_burst(&mut node, name, 10).len(),
+            2 * BATCH_SLOTS,
+            "{name}"
+        );
     }
 }
--- a/crates/peridotdeck-core/tests/testsuite/random_dispatch.rs
+++ b/crates/peridotdeck-core/tests/testsuite/random_dispatch.rs
@@ -1,4 +1,6 @@
-//! Random sequences over several nodes: late, lost and doubled beats, restarts, changing endpoints.
+//! Random sequences of steps over several nodes.
+//!
+//! Heartbeats are late, lost or duplicated, nodes restart, and endpoints change.
 
 use std::{
     collections::BTreeMap,
@@ -23,7 +25,9 @@
 use peridotdeck_wire::beat::Beat;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use crate::dispatch::{REGIONS, ask, config, dispatcher, endpoint, ms, node, prompt, report};
+use crate::dispatch::{
+    REGIONS, config, decoded_request, dispatcher, endpoint, ms, node, prompt, report,
+};
 
 const NODES: usize = 4;
 const ROUTES: [&str; 4] = ["urgent", "bulk", "lookup", "booking"];
@@ -40,8 +44,8 @@
     End::Cancelled,
 ];
 
-/// A request at its node, with the attempt in progress.
-struct Open {
+/// A request at its node, with the attempt in progress and the attempts that may have run.
+struct OpenRequest {
     node: usize,
     flight: Flight,
     attempt: Attempt,
@@ -51,21 +55,23 @@
 struct World {
     now: Duration,
     nodes: Vec<Dispatcher>,
-    beats: Vec<(Node, Beat)>,
-    open: Vec<Open>,
+    heartbeats: Vec<(Node, Beat)>,
+    open: Vec<OpenRequest>,
     revision: u64,
     version: u64,
-    /// Sends to cold endpoints by endpoint and second.
+    /// Assignments to cold endpoints, by endpoint and second.
     cold: BTreeMap<(Key, u64), u32>,
     cold_until: BTreeMap<String, Duration>,
 }
 
-fn place_of(at: usize) -> &'static str {
-    REGIONS[at % 2].0
+fn data_centre_of(index: usize) -> &'static str {
+    REGIONS[index % 2].0
 }
 
-/// A configuration in which one class is less urgent than the others of its service, and may wait.
-fn ranked(version: u64) -> Config {
+/// Returns a configuration where `bulk` is less urgent than the other routes of its service.
+///
+/// Its requests may wait at their node.
+fn config_with_priorities(version: u64) -> Config {
     let mut config = config(version);
     for route in &mut config.routes {
         let priority = u8::from(route.name == "bulk");
@@ -79,25 +85,25 @@
         let mut world = Self {
             now: ms(10_000),
             nodes: Vec::new(),
-            beats: Vec::new(),
+            heartbeats: Vec::new(),
             open: Vec::new(),
             revision: 1,
             version: 1,
             cold: BTreeMap::new(),
             cold_until: BTreeMap::new(),
         };
-        for at in 0..NODES {
-            world.nodes.push(world.fresh(at));
+        for index in 0..NODES {
+            world.nodes.push(world.new_node(index));
         }
         world
     }
 
-    fn fresh(&self, at: usize) -> Dispatcher {
+    fn new_node(&self, index: usize) -> Dispatcher {
         let endpoints: Vec<_> = (0..4).map(|number| self.endpoint(number, 1)).collect();
-        let mut fresh = dispatcher(at as u8 + 1, place_of(at), &endpoints);
-        let facts = vec![Fact::Config(ranked(self.version))];
-        fresh.apply_report(report(Area::Policy, self.revision, true, facts), self.now);
-        fresh
+        let mut new_node = dispatcher(index as u8 + 1, data_centre_of(index), &endpoints);
+        let facts = vec![Fact::Config(config_with_priorities(self.version))];
+        new_node.apply_report(report(Area::Policy, self.revision, true, facts), self.now);
+        new_node
     }
 
     fn endpoint(&self, number: u8, born: u64) -> peridotdeck_core::dispatch::registry::Endpoint {
@@ -106,8 +112,8 @@
         } else {
             "desk"
         };
-        let place = place_of(usize::from(number / 2));
-        let mut endpoint = endpoint(&format!("e{number}"), service, place);
+        let data_centre = data_centre_of(usize::from(number / 2));
+        let mut endpoint = endpoint(&format!("e{number}"), service, data_centre);
         endpoint.born = born;
         let until = self.cold_until.get(&endpoint.id).copied();
         endpoint.cold = until.unwrap_or_default().saturating_sub(self.now);
@@ -115,60 +121,72 @@
     }
 
     fn step(&mut self, kind: u8, value: u8) {
-        let at = usize::from(value) % NODES;
+        let index = usize::from(value) % NODES;
         match kind % 10 {
-            0 | 1 => self.tick(at),
-            2 | 3 => self.send(at, value),
+            0 | 1 => self.tick(index),
+            2 | 3 => self.send(index, value),
             4 | 5 => self.end(value),
             6 => self.deliver(value),
             7 => self.change(value),
             8 if value.is_multiple_of(8) => {
-                self.open.retain(|open| open.node != at);
-                self.nodes[at] = self.fresh(at);
+                self.open.retain(|open| open.node != index);
+                self.nodes[index] = self.new_node(index);
             }
             _ => self.now += ms(u64::from(value)),
         }
     }
 
-    fn tick(&mut self, at: usize) {
-        let before = self.nodes[at].registry().config().map(|each| each.version);
-        let due = self.nodes[at].tick(self.now);
-        self.beats.extend(due.heartbeats);
+    fn tick(&mut self, index: usize) {
+        let before = self.nodes[index]
+            .registry()
+            .config()
+            .map(|config| config.version);
+        let due = self.nodes[index].tick(self.now);
+        self.heartbeats.extend(due.heartbeats);
         for probe in due.probes {
-            self.nodes[at].record_probe(probe.key, probe.key.is_multiple_of(2), self.now);
+            self.nodes[index].record_probe(probe.key, probe.key.is_multiple_of(2), self.now);
         }
         for request in due.snapshot_requests {
             let peer = (0..NODES).find(|&peer| node(peer as u8 + 1) == request.node);
             let Some(peer) = peer else { continue };
             let registry = self.nodes[peer].registry();
             let snapshot = registry.snapshot(request.area, request.known, self.now);
-            self.nodes[at].adopt(snapshot, self.now);
+            self.nodes[index].adopt(snapshot, self.now);
         }
-        let after = self.nodes[at].registry().config().map(|each| each.version);
-        assert!(before <= after, "a configuration never goes back");
+        let after = self.nodes[index]
+            .registry()
+            .config()
+            .map(|config| config.version);
+        assert!(
+            before <= after,
+            "the version of a configuration never decreases"
+        );
     }
 
-    fn send(&mut self, at: usize, value: u8) {
-        let mut ask = ask(ROUTES[usize::from(value / 4) % ROUTES.len()]);
-        ask.id = format!("{value}");
-        ask.prompt = prompt(u64::from(value % 5) + 2, 2_000, u32::from(value) * 40);
-        // A few requests come again and again, and are refused once they have crashed endpoints.
+    fn send(&mut self, index: usize, value: u8) {
+        let mut request = decoded_request(ROUTES[usize::from(value / 4) % ROUTES.len()]);
+        request.id = format!("{value}");
+        request.prompt = prompt(u64::from(value % 5) + 2, 2_000, u32::from(value) * 40);
+        // A few fingerprints recur, and are refused once they have crashed endpoints.
         let fingerprint = u64::from(value) * u64::from(value % 8) + self.now.as_millis() as u64;
-        match self.nodes[at].admit(ask, fingerprint, self.now) {
-            Ok(flight) => self.place(at, flight, 0),
+        match self.nodes[index].admit(request, fingerprint, self.now) {
+            Ok(flight) => self.place(index, flight, 0),
             Err(refusal) => assert_eq!(refusal.verdict, Verdict::NotRun),
         }
     }
 
-    fn place(&mut self, at: usize, mut flight: Flight, runs: u32) {
-        match self.nodes[at].place(&mut flight, self.now) {
-            Placement::Send(order) => {
-                assert!(order.rank <= LAST_RANK);
-                let key = order.attempt.key();
-                let registry = self.nodes[at].registry();
-                let listed = registry.endpoints().iter().find(|each| each.key() == key);
+    fn place(&mut self, index: usize, mut flight: Flight, runs: u32) {
+        match self.nodes[index].place(&mut flight, self.now) {
+            Placement::Send(assignment) => {
+                assert!(assignment.rank <= LAST_RANK);
+                let key = assignment.attempt.key();
+                let registry = self.nodes[index].registry();
+                let listed = registry
+                    .endpoints()
+                    .iter()
+                    .find(|endpoint| endpoint.key() == key);
                 let listed = listed.expect("only listed endpoints are used");
-                assert!(!listed.draining, "{} is leaving", listed.id);
+                assert!(!listed.draining, "{} is draining", listed.id);
                 assert!(
                     registry
                         .closed()
@@ -183,16 +201,16 @@
                 {
                     *self.cold.entry((key, self.now.as_secs())).or_default() += 1;
                 }
-                self.open.push(Open {
-                    node: at,
+                self.open.push(OpenRequest {
+                    node: index,
                     flight,
-                    attempt: order.attempt,
+                    attempt: assignment.attempt,
                     runs,
                 });
             }
             Placement::Refuse(refusal, _) => {
-                let truth = runs == 0;
-                assert_eq!(refusal.verdict == Verdict::NotRun, truth, "a true verdict");
+                let not_run = runs == 0;
+                assert_eq!(refusal.verdict == Verdict::NotRun, not_run, "wrong verdict");
                 if let Some(wait) = refusal.retry_after {
                     assert!(wait <= flight.route.timeout / 3);
                 }
@@ -205,13 +223,13 @@
         if self.open.is_empty() {
             return;
         }
-        let at = usize::from(value) % self.open.len();
-        let Open {
+        let index = usize::from(value) % self.open.len();
+        let OpenRequest {
             node,
             mut flight,
             attempt,
             runs,
-        } = self.open.swap_remove(at);
+        } = self.open.swap_remove(index);
         let end = ENDS[usize::from(value / 3) % ENDS.len()];
         let dispatcher = &mut self.nodes[node];
         dispatcher.finish(&attempt, end, &flight, self.now);
@@ -221,7 +239,10 @@
         let runs = runs + u32::from(end.verdict() != Verdict::NotRun);
         match dispatcher.next_step(&mut flight, end, self.now) {
             Next::Retry => {
-                assert!(runs == 0 || flight.route.is_repeatable(), "one run at most");
+                assert!(
+                    runs == 0 || flight.route.is_repeatable(),
+                    "it may run once at most"
+                );
                 assert!(runs < flight.route.attempts);
                 self.place(node, flight, runs);
             }
@@ -229,28 +250,28 @@
                 assert_eq!(
                     refusal.verdict == Verdict::NotRun,
                     runs == 0,
-                    "a true verdict"
+                    "wrong verdict"
                 );
             }
         }
     }
 
-    /// Beats arrive late, twice, in any order, or never.
+    /// Delivers one heartbeat: late, twice, out of order, or never.
     fn deliver(&mut self, value: u8) {
-        if self.beats.is_empty() {
+        if self.heartbeats.is_empty() {
             return;
         }
-        let at = usize::from(value) % self.beats.len();
-        let (to, beat) = self.beats[at].clone();
+        let index = usize::from(value) % self.heartbeats.len();
+        let (to, heartbeat) = self.heartbeats[index].clone();
         if !value.is_multiple_of(4) {
-            self.beats.swap_remove(at);
+            self.heartbeats.swap_remove(index);
         }
-        let receiver = (0..NODES).find(|&each| node(each as u8 + 1) == to);
+        let receiver = (0..NODES).find(|&receiver| node(receiver as u8 + 1) == to);
         if let Some(receiver) = receiver
             && !value.is_multiple_of(5)
-            && let Some(answer) = self.nodes[receiver].receive(&beat, self.now).0
+            && let Some(response) = self.nodes[receiver].receive(&heartbeat, self.now).0
         {
-            self.beats.push((Node::from(beat.node), answer));
+            self.heartbeats.push((Node::from(heartbeat.node), response));
         }
     }
 
@@ -261,15 +282,18 @@
         let (area, fact) = match value % 6 {
             0 => {
                 self.version += 1;
-                (Area::Policy, Fact::Config(ranked(self.version)))
+                (
+                    Area::Policy,
+                    Fact::Config(config_with_priorities(self.version)),
+                )
             }
             1 => (
                 Area::Policy,
-                Fact::Closed(place_of(usize::from(number)).into()),
+                Fact::Closed(data_centre_of(usize::from(number)).into()),
             ),
             2 => (
                 Area::Policy,
-                Fact::Opened(place_of(usize::from(number)).into()),
+                Fact::Opened(data_centre_of(usize::from(number)).into()),
             ),
             3 => (Area::Roster, Fact::Gone(changed.id)),
             4 => {
@@ -283,41 +307,41 @@
                 (Area::Roster, Fact::Endpoint(changed))
             }
         };
-        // Some nodes cannot read the publisher and must learn it from the others.
-        for at in 0..NODES {
-            if (value >> at) & 1 == 1 || at == usize::from(value) % NODES {
+        // Some nodes cannot reach the publisher and must learn the change from their peers.
+        for index in 0..NODES {
+            if (value >> index) & 1 == 1 || index == usize::from(value) % NODES {
                 let facts = vec![fact.clone()];
                 let report = report(area, self.revision, false, facts);
-                self.nodes[at].apply_report(report, self.now);
+                self.nodes[index].apply_report(report, self.now);
             } else if value.is_multiple_of(7) {
-                self.nodes[at].note_publisher_failure(self.now);
+                self.nodes[index].note_publisher_failure(self.now);
             }
         }
     }
 
     fn check(&self) {
         for ((key, second), sends) in &self.cold {
-            // One and a half times the rate of 10, and five.
+            // One and a half times the rate of 10 a second, and five more.
             assert!(
                 *sends <= 20,
                 "{key:08x} got {sends} while cold in second {second}"
             );
         }
-        for (at, dispatcher) in self.nodes.iter().enumerate() {
+        for (index, dispatcher) in self.nodes.iter().enumerate() {
             let own: u32 = dispatcher
                 .states()
                 .iter()
                 .map(|state| state.own_load.running)
                 .sum();
-            let open = self.open.iter().filter(|open| open.node == at).count();
-            assert!(own as usize <= open, "node {at} counts {own} of {open}");
+            let open = self.open.iter().filter(|open| open.node == index).count();
+            assert!(own as usize <= open, "node {index} counts {own} of {open}");
         }
     }
 }
 
 #[test]
 fn promises_of_several_nodes_hold() {
-    /// Steps of one input; the generator's own inputs are too short for a history.
+    /// Steps per input. The input is only a seed, as the generator's own inputs are too short.
     const STEPS: u64 = 1_500;
     let events = AtomicU64::new(0);
     check!().with_type::<u64>().for_each(|seed| {
@@ -333,15 +357,15 @@
 }
 
 #[test]
-fn ranks_order_organisations_first() {
+fn priority_of_an_organisation_outranks_that_of_a_route() {
     let config = config(1);
     let organisation = |priority| peridotdeck_core::dispatch::config::Organisation {
         priority: Some(priority),
         ..Default::default()
     };
     let mut routes = config.routes.clone();
-    for (at, route) in routes.iter_mut().enumerate() {
-        std::sync::Arc::make_mut(route).priority = at as u8;
+    for (index, route) in routes.iter_mut().enumerate() {
+        std::sync::Arc::make_mut(route).priority = index as u8;
     }
     let config = peridotdeck_core::dispatch::config::Config { routes, ..config };
     let mut ranks = Vec::new();
--- a/crates/peridotdeck-core/tests/testsuite/shared_bounds.rs
+++ b/crates/peridotdeck-core/tests/testsuite/shared_bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that hold summed over all nodes: repeats, and what cold endpoints bear.
+//! Bounds on the sum over all nodes: retries, and requests sent to cold endpoints.
 
 use std::time::Duration;
 
@@ -9,62 +9,62 @@
     registry::Fact,
 };
 
-use crate::dispatch::{admit, ask, dispatcher, endpoint, ms, node, publish};
+use crate::dispatch::{admit, decoded_request, dispatcher, endpoint, ms, node, publish};
 
-const BOUND: Bound = Bound {
+const RETRY_BOUND: Bound = Bound {
     ratio: 0.2,
     fixed: 50.0,
     window: Duration::from_secs(10),
 };
 
 #[test]
-fn repeats_of_all_nodes_stay_within_the_bound() {
+fn retries_of_all_nodes_stay_within_the_bound() {
     for nodes in [1_usize, 3, 7] {
-        let mut budgets = vec![Budget::new(BOUND); nodes];
-        let (mut requests, mut repeats) = (0_u32, 0_u32);
-        for at in 0..1_000_u64 {
+        let mut budgets = vec![Budget::new(RETRY_BOUND); nodes];
+        let (mut requests, mut retries) = (0_u32, 0_u32);
+        for step in 0..1_000_u64 {
             for budget in &mut budgets {
-                budget.count_request("desk", ms(at * 10));
+                budget.count_request("desk", ms(step * 10));
                 requests += 1;
-                while budget.take_retry("desk", nodes, ms(at * 10)) {
-                    repeats += 1;
+                while budget.take_retry("desk", nodes, ms(step * 10)) {
+                    retries += 1;
                 }
             }
         }
-        let bound = BOUND.ratio * f64::from(requests) + BOUND.fixed;
-        assert!(f64::from(repeats) <= bound, "{nodes}: {repeats} > {bound}");
+        let bound = RETRY_BOUND.ratio * f64::from(requests) + RETRY_BOUND.fixed;
+        assert!(f64::from(retries) <= bound, "{nodes}: {retries} > {bound}");
         assert!(
-            f64::from(repeats) > bound / 2.0,
+            f64::from(retries) > bound / 2.0,
             "{nodes}: the budget is used"
         );
     }
 }
 
 #[test]
-fn budget_returns_with_time() {
-    let mut budget = Budget::new(BOUND);
+fn retry_budget_is_refilled_after_its_window() {
+    let mut budget = Budget::new(RETRY_BOUND);
     while budget.take_retry("desk", 1, ms(0)) {}
     assert!(!budget.take_retry("desk", 1, ms(9_000)));
     assert!(budget.take_retry("desk", 1, ms(11_500)));
 }
 
-/// Sends as much as the nodes of one data centre place on a cold endpoint within a second.
-fn cold_sends(nodes: &mut [Dispatcher], start: u64) -> u32 {
+/// Returns how many of 200 requests at each node are sent to a cold endpoint within a second.
+fn count_cold_sends(nodes: &mut [Dispatcher], start_ms: u64) -> u32 {
     let mut sends = 0;
-    for at in 0..200 {
-        let now = ms(start + at * 5);
-        for each in nodes.iter_mut() {
-            let mut flight = admit(each, ask("bulk"), now);
-            if let Placement::Send(order) = each.place(&mut flight, now) {
+    for step in 0..200 {
+        let now = ms(start_ms + step * 5);
+        for dispatcher in nodes.iter_mut() {
+            let mut flight = admit(dispatcher, decoded_request("bulk"), now);
+            if let Placement::Send(assignment) = dispatcher.place(&mut flight, now) {
                 sends += 1;
-                each.finish(&order.attempt, End::Finished, &flight, now);
+                dispatcher.finish(&assignment.attempt, End::Finished, &flight, now);
             }
         }
     }
     sends
 }
 
-fn cold_pair() -> Vec<Dispatcher> {
+fn two_nodes_with_a_cold_endpoint() -> Vec<Dispatcher> {
     let mut cold = endpoint("cold", "text", "muenchen");
     cold.cold = Duration::from_secs(60);
     vec![
@@ -73,75 +73,78 @@
     ]
 }
 
-fn exchange(nodes: &mut [Dispatcher], now: Duration) {
+fn exchange_heartbeats(nodes: &mut [Dispatcher], now: Duration) {
     for from in 0..nodes.len() {
-        for (to, beat) in nodes[from].tick(now).heartbeats {
-            let at = (0..nodes.len()).find(|at| node(*at as u8 + 1) == to);
-            let Some(at) = at else { continue };
-            let answer = nodes[at].receive(&beat, now).0;
-            if let Some(answer) = answer {
-                nodes[from].receive(&answer, now);
+        for (to, heartbeat) in nodes[from].tick(now).heartbeats {
+            let to = (0..nodes.len()).find(|index| node(*index as u8 + 1) == to);
+            let Some(to) = to else { continue };
+            let response = nodes[to].receive(&heartbeat, now).0;
+            if let Some(response) = response {
+                nodes[from].receive(&response, now);
             }
         }
     }
 }
 
 #[test]
-fn cold_endpoint_takes_no_more_than_it_bears() {
-    let mut nodes = cold_pair();
-    for at in 0..40 {
-        exchange(&mut nodes, ms(at * 25));
+fn cold_endpoint_gets_at_most_its_rate() {
+    let mut nodes = two_nodes_with_a_cold_endpoint();
+    for step in 0..40 {
+        exchange_heartbeats(&mut nodes, ms(step * 25));
     }
-    let sends = cold_sends(&mut nodes, 1_000);
-    // The service's endpoints bear 10 a second, and it is to be used.
+    let sends = count_cold_sends(&mut nodes, 1_000);
+    // A cold endpoint of this service bears 10 requests a second; at least half must be used.
     assert!((5..=10).contains(&sends), "{sends}");
 }
 
 #[test]
-fn nodes_that_cannot_hear_each_other_stay_within_the_bound() {
-    let mut nodes = cold_pair();
-    let sends = cold_sends(&mut nodes, 1_000);
-    // Bound of the platform: one and a half times the rate, and five.
+fn nodes_without_heartbeats_stay_within_the_cold_bound() {
+    let mut nodes = two_nodes_with_a_cold_endpoint();
+    let sends = count_cold_sends(&mut nodes, 1_000);
+    // The platform allows one and a half times the rate, and five more.
     assert!(sends <= 20, "{sends}");
 }
 
+/// Two of five nodes stop receiving heartbeats. They could send to a cold endpoint in addition to
+/// the other three, beyond its bound.
 #[test]
-fn half_of_a_data_centre_that_hears_the_other_no_more_sends_nothing() {
+fn minority_cut_off_from_its_data_centre_sends_nothing_to_a_cold_endpoint() {
     let mut cold = endpoint("cold", "text", "muenchen");
     cold.cold = Duration::from_secs(60);
     let mut nodes: Vec<Dispatcher> = (1..=5)
         .map(|number| dispatcher(number, "muenchen", &[cold.clone()]))
         .collect();
-    for at in 0..40 {
-        exchange(&mut nodes, ms(at * 25));
+    for step in 0..40 {
+        exchange_heartbeats(&mut nodes, ms(step * 25));
     }
     let mut minority = nodes.split_off(3);
-    for at in 40..160 {
-        exchange(&mut nodes, ms(at * 25));
-        for each in &mut minority {
-            each.tick(ms(at * 25));
+    for step in 40..160 {
+        exchange_heartbeats(&mut nodes, ms(step * 25));
+        for dispatcher in &mut minority {
+            dispatcher.tick(ms(step * 25));
         }
     }
-    assert_eq!(cold_sends(&mut minority, 4_000), 0);
-    let sends = cold_sends(&mut nodes, 4_000);
+    assert_eq!(count_cold_sends(&mut minority, 4_000), 0);
+    let sends = count_cold_sends(&mut nodes, 4_000);
     assert!((5..=20).contains(&sends), "{sends}");
 }
 
+/// An endpoint that answers a probe after a failed connection may have restarted, thus be cold.
 #[test]
-fn endpoint_that_is_back_is_taken_for_cold() {
+fn endpoint_that_was_unreachable_counts_as_cold() {
     let mut node = dispatcher(1, "muenchen", &[endpoint("e", "text", "muenchen")]);
-    let mut flight = admit(&mut node, ask("bulk"), ms(0));
-    let Placement::Send(order) = node.place(&mut flight, ms(0)) else {
-        panic!("warm and free");
+    let mut flight = admit(&mut node, decoded_request("bulk"), ms(0));
+    let Placement::Send(assignment) = node.place(&mut flight, ms(0)) else {
+        panic!("the endpoint is warm and idle");
     };
-    node.finish(&order.attempt, End::Unreachable, &flight, ms(1));
-    node.record_probe(order.attempt.key(), true, ms(300));
-    let sends = cold_sends(std::slice::from_mut(&mut node), 700);
+    node.finish(&assignment.attempt, End::Unreachable, &flight, ms(1));
+    node.record_probe(assignment.attempt.key(), true, ms(300));
+    let sends = count_cold_sends(std::slice::from_mut(&mut node), 700);
     assert!((5..=10).contains(&sends), "{sends}");
-    // Its new entry says how long it is cold.
+    // The new entry of the endpoint list says that the endpoint is warm.
     let mut warm = endpoint("e", "text", "muenchen");
     warm.born = 2;
     publish(&mut node, 2, Fact::Endpoint(warm), ms(1_800));
-    let sends = cold_sends(std::slice::from_mut(&mut node), 1_900);
+    let sends = count_cold_sends(std::slice::from_mut(&mut node), 1_900);
     assert_eq!(sends, 200);
 }
--- a/crates/peridotdeck-core/tests/testsuite/stream_pauses.rs
+++ b/crates/peridotdeck-core/tests/testsuite/stream_pauses.rs
@@ -1,4 +1,4 @@
-//! Long prompts beside streams whose pauses must stay short.
+//! Placement of long prompts on endpoints with streams whose inter-token latency is bounded.
 
 use std::time::Duration;
 
@@ -8,12 +8,14 @@
     registry::{Area, Fact},
 };
 
-use crate::dispatch::{admit, ask, config, dispatcher, endpoint, ms, prompt, report, route, sent};
+use crate::dispatch::{
+    admit, config, decoded_request, dispatcher, endpoint, expect_sent, ms, prompt, report, route,
+};
 
-const GAP: Duration = Duration::from_millis(250);
+const MAX_PAUSE: Duration = Duration::from_millis(250);
 
-/// Endpoints of one data centre, and a route of streams that allow short pauses only.
-fn site(ids: &[&str]) -> Dispatcher {
+/// Returns a node with these endpoints and a route `chat` that bounds the pauses of streams.
+fn dispatcher_with_chat(ids: &[&str]) -> Dispatcher {
     let endpoints: Vec<_> = ids
         .iter()
         .map(|id| endpoint(id, "text", "muenchen"))
@@ -21,7 +23,7 @@
     let mut node = dispatcher(1, "muenchen", &endpoints);
     let chat = Route {
         target: ms(400),
-        gap: Some(GAP),
+        gap: Some(MAX_PAUSE),
         ..route("chat", Kind::Stream, 1)
     };
     let Config { mut routes, .. } = config(2);
@@ -35,66 +37,67 @@
     node
 }
 
-fn place(node: &mut Dispatcher, route: &str, subject: u64, own: u32) -> String {
-    let mut ask = ask(route);
-    ask.prompt = prompt(subject, 200, own);
-    let mut flight = admit(node, ask, ms(10));
-    sent(node.place(&mut flight, ms(10))).instance
+fn admit_and_place(node: &mut Dispatcher, route: &str, subject: u64, own: u32) -> String {
+    let mut request = decoded_request(route);
+    request.prompt = prompt(subject, 200, own);
+    let mut flight = admit(node, request, ms(10));
+    expect_sent(node.place(&mut flight, ms(10))).instance
 }
 
-/// Returns at how many endpoints short streams run beside more than one long prompt.
-fn mixed(node: &mut Dispatcher, ids: &[&str]) -> usize {
+/// Returns the number of endpoints that run short streams together with several long prompts.
+fn count_shared_endpoints(node: &mut Dispatcher, ids: &[&str]) -> usize {
     let mut streams = vec![0; ids.len()];
     let mut prompts = vec![0; ids.len()];
-    let at = |id: String| ids.iter().position(|each| *each == id);
+    let index = |id: String| ids.iter().position(|listed| *listed == id);
     for subject in 0..12 {
-        let chat = place(node, "chat", 500 + subject, 400);
-        streams[at(chat).expect("it is an endpoint")] += 1;
-        let bulk = place(node, "bulk", subject, 12_000);
-        prompts[at(bulk).expect("it is an endpoint")] += 1;
+        let chat = admit_and_place(node, "chat", 500 + subject, 400);
+        streams[index(chat).expect("it is an endpoint")] += 1;
+        let bulk = admit_and_place(node, "bulk", subject, 12_000);
+        prompts[index(bulk).expect("it is an endpoint")] += 1;
     }
-    let both = streams.iter().zip(&prompts);
-    both.filter(|(streams, prompts)| **streams > 0 && **prompts > 1)
+    let per_endpoint = streams.iter().zip(&prompts);
+    per_endpoint
+        .filter(|(streams, prompts)| **streams > 0 && **prompts > 1)
         .count()
 }
 
 #[test]
-fn short_streams_meet_where_no_long_prompts_go() {
+fn short_streams_and_long_prompts_use_separate_endpoints_after_long_pauses() {
     for ids in [&["a", "b"][..], &["a", "b", "c", "d", "e", "f"]] {
-        let mut node = site(ids);
+        let mut node = dispatcher_with_chat(ids);
         for _ in 0..30 {
             node.record_pause("text", ms(300));
         }
-        assert_eq!(mixed(&mut node, ids), 0, "{ids:?}");
+        assert_eq!(count_shared_endpoints(&mut node, ids), 0, "{ids:?}");
     }
 }
 
 #[test]
-fn nothing_is_kept_apart_while_pauses_are_short() {
+fn streams_and_prompts_share_endpoints_while_pauses_are_short() {
     let ids = ["a", "b"];
-    let mut node = site(&ids);
+    let mut node = dispatcher_with_chat(&ids);
     for _ in 0..100 {
         node.record_pause("text", ms(100));
     }
     let busy: Vec<String> = (0..6)
-        .map(|subject| place(&mut node, "bulk", subject, 12_000))
+        .map(|subject| admit_and_place(&mut node, "bulk", subject, 12_000))
         .collect();
     for id in ids {
-        assert_eq!(busy.iter().filter(|each| *each == id).count(), 3);
+        assert_eq!(busy.iter().filter(|busy_id| *busy_id == id).count(), 3);
     }
-    assert!(mixed(&mut node, &ids) > 0);
+    assert!(count_shared_endpoints(&mut node, &ids) > 0);
 }
 
 #[test]
-fn usual_pause_is_what_nine_of_ten_streams_stay_within() {
-    let mut node = site(&["a"]);
-    let stream = |node: &mut Dispatcher, pause: u64| {
+fn usual_pause_is_the_ninetieth_percentile_of_streams() {
+    let mut node = dispatcher_with_chat(&["a"]);
+    let record_stream = |node: &mut Dispatcher, pause: u64| {
         if !node.record_pause("text", ms(pause)) {
             node.record_steady_stream("text");
         }
     };
-    for at in 0..2_000 {
-        stream(&mut node, at * 37 % 100);
+    for number in 0..2_000 {
+        record_stream(&mut node, number * 37 % 100);
     }
     assert!(node.record_pause("text", ms(105)));
     assert!(!node.record_pause("text", ms(75)));
