--- a/crates/peridotdeck-relay/src/pool.rs
+++ b/crates/peridotdeck-relay/src/pool.rs
@@ -1,6 +1,7 @@
 //! Connections to endpoints, and the pool that keeps idle ones for the next requests.
 //!
-//! A connection is kept only after a complete answer, so one that saw a fault is never used again.
+//! After a request a connection is kept only if the answer was complete, so one that saw a fault is
+//! never used again.
 //! An idle connection may be dead. It is therefore used only within the endpoint's idle timeout,
 //! and the kernel probes it meanwhile.
 
@@ -162,7 +163,7 @@
         Some(connection)
     }
 
-    /// Keeps a connection after a complete answer.
+    /// Keeps a connection after a complete answer or a probe.
     ///
     /// `limit` is the idle timeout that the endpoint announced. If the endpoint has too many idle
     /// connections, the oldest is closed.
