--- a/crates/peridotdeck-load/src/caller.rs
+++ b/crates/peridotdeck-load/src/caller.rs
@@ -11,7 +11,7 @@
 use http_types::{Method, Request, Response, mime};
 use peridotdeck_fake::text;
 use peridotdeck_http::client;
-use peridotdeck_router::callers::CLASS;
+use peridotdeck_router::callers::CLASS_HEADER;
 use serde_json::{Value, json};
 
 use crate::{
@@ -95,7 +95,7 @@
     let load = &experiment.loads[arrival.load];
     let organisation = &experiment.organisations[arrival.organisation].name;
     let request = build(load, arrival, organisation, address)?;
-    let response = client::call(address, request, patience).await;
+    let response = client::request(address, request, patience).await;
     let mut response =
         response.map_err(|cause| http_types::Error::from_str(502, cause.to_string()))?;
     if !response.status().is_success() {
@@ -134,7 +134,7 @@
         "authorization",
         format!("Bearer {}", stage::key(organisation)),
     );
-    request.insert_header(CLASS, load.class.as_str());
+    request.insert_header(CLASS_HEADER, load.class.as_str());
     if let Some(key) = &arrival.key {
         request.insert_header("idempotency-key", key.as_str());
     }
--- a/crates/peridotdeck-relay/src/forwarding.rs
+++ b/crates/peridotdeck-relay/src/forwarding.rs
@@ -95,7 +95,7 @@
     /// Starts the forwarding of an admitted request.
     #[must_use]
     pub fn new(shared: Arc<Shared<I>>, message: Message, flight: Flight) -> Self {
-        shared.open.fetch_add(1, Ordering::Relaxed);
+        shared.open_requests.fetch_add(1, Ordering::Relaxed);
         Self {
             shared,
             message,
@@ -339,7 +339,7 @@
         drop(dispatcher);
         self.shared
             .metrics
-            .attempted(&self.flight.service, end.into());
+            .count_attempt(&self.flight.service, end.into());
         if end != End::Finished {
             log::info!(
                 "event=attempt_ended id={} endpoint={} key={:08x} end={end} ms={} cause=\"{cause}\"",
@@ -376,7 +376,7 @@
             self.finish_attempt(End::Cancelled, "caller disconnected");
             self.record_end("cancelled", 0, "caller disconnected");
         }
-        self.shared.open.fetch_sub(1, Ordering::Relaxed);
+        self.shared.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/peridotdeck-relay/src/shared.rs
+++ b/crates/peridotdeck-relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a node share.
+//! State that all tasks of a node share.
 
 use std::{
     net::SocketAddrV4,
@@ -15,78 +15,81 @@
 
 use crate::{Ingress, clock, metrics::Metrics, pool::Pool, publisher::Sink};
 
-/// Decisions, connections and figures of one node.
+/// Dispatcher, connections and metrics of one node.
 #[derive(Debug)]
 pub struct Shared<I> {
-    /// What the site speaks.
+    /// The site's protocol towards callers and endpoints.
     pub ingress: I,
-    /// Kept connections to endpoints.
+    /// Idle connections to endpoints.
     pub pool: Pool,
-    /// Counters and histograms.
+    /// Metrics of this node.
     pub metrics: Metrics,
-    /// Requests in progress.
-    pub open: AtomicU32,
+    /// Number of requests in progress.
+    pub open_requests: AtomicU32,
     dispatcher: Mutex<Dispatcher>,
-    troubled: [AtomicU32; 2],
+    /// Failed reads of each area since its last successful read.
+    failure_counts: [AtomicU32; 2],
 }
 
 impl<I: Ingress> Shared<I> {
-    /// Puts the parts together.
+    /// Creates the state of a node that has not served a request yet.
     #[must_use]
     pub fn new(ingress: I, dispatcher: Dispatcher) -> Self {
         Self {
             ingress,
             pool: Pool::default(),
             metrics: Metrics::new(),
-            open: AtomicU32::new(0),
+            open_requests: AtomicU32::new(0),
             dispatcher: Mutex::new(dispatcher),
-            troubled: Default::default(),
+            failure_counts: Default::default(),
         }
     }
 
-    /// Returns the decisions; the guard is never held across an await.
+    /// Locks the dispatcher. The guard must not be held across an `await`.
     pub fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that an idle connection to an endpoint broke.
+    /// Records that an idle connection to an endpoint broke, so the endpoint may be down.
     pub fn suspect(&self, key: Key) {
         log::info!("event=idle_connection_broke endpoint_key={key:08x}");
         self.dispatcher().suspect(key, clock::now());
     }
 
-    /// Logs a change and closes what it makes useless.
-    pub fn note_change(&self, change: &Change, source: &str) {
+    /// Logs a change and closes the connections to removed endpoints.
+    ///
+    /// `source` is logged as the origin of the change.
+    pub fn handle_change(&self, change: &Change, source: &str) {
         if let Some(version) = change.version {
             log::info!("event=config_adopted version={version} source={source}");
-            self.metrics.adopted(version);
+            self.metrics.set_config_version(version);
         }
-        for place in &change.closed {
-            log::info!("event=data_centre_closed place={place} source={source}");
+        for data_centre in &change.closed {
+            log::info!("event=data_centre_closed place={data_centre} source={source}");
         }
-        for place in &change.opened {
-            log::info!("event=data_centre_opened place={place} source={source}");
+        for data_centre in &change.opened {
+            log::info!("event=data_centre_opened place={data_centre} source={source}");
         }
         for endpoint in &change.updated {
             log_endpoint("endpoint_updated", endpoint, source);
         }
         for endpoint in &change.removed {
-            self.note_removed(endpoint, source);
+            self.handle_removal(endpoint, source);
         }
     }
 
-    /// Logs that an endpoint left the list and closes its connections.
-    pub fn note_removed(&self, endpoint: &Endpoint, source: &str) {
+    /// Logs that an endpoint was removed from the endpoint list, and closes its connections.
+    pub fn handle_removal(&self, endpoint: &Endpoint, source: &str) {
         log_endpoint("endpoint_removed", endpoint, source);
         self.pool.close(endpoint.key());
     }
 
-    fn area(&self, area: Area) -> &AtomicU32 {
+    fn failure_count(&self, area: Area) -> &AtomicU32 {
         match area {
-            Area::Policy => &self.troubled[0],
-            Area::Roster => &self.troubled[1],
+            Area::Policy => &self.failure_counts[0],
+            Area::Roster => &self.failure_counts[1],
         }
     }
 }
@@ -114,26 +117,26 @@
 impl<I: Ingress> Sink for Shared<I> {
     fn report(&self, report: Report) {
         let change = self.dispatcher().apply_report(report, clock::now());
-        self.note_change(&change, "publisher");
+        self.handle_change(&change, "publisher");
     }
 
-    fn trouble(&self, area: Area, cause: &str) {
-        let count = self.area(area).fetch_add(1, Ordering::Relaxed);
+    fn report_failure(&self, area: Area, cause: &str) {
+        let count = self.failure_count(area).fetch_add(1, Ordering::Relaxed);
         if count == 0 {
             log::warn!("event=publisher_lost area={area} cause=\"{cause}\"");
         }
-        self.metrics.publisher_failed(area.into());
+        self.metrics.count_publisher_failure(area.into());
         self.dispatcher().note_publisher_failure(clock::now());
     }
 
-    fn recovered(&self, area: Area) {
-        let failures = self.area(area).swap(0, Ordering::Relaxed);
+    fn report_recovery(&self, area: Area) {
+        let failures = self.failure_count(area).swap(0, Ordering::Relaxed);
         if failures > 0 {
             log::info!("event=publisher_regained area={area} failures={failures}");
         }
     }
 
-    fn is_reading(&self) -> bool {
+    fn should_watch(&self) -> bool {
         self.dispatcher().is_watcher(clock::now())
     }
 
--- a/crates/peridotdeck-relay/src/stream.rs
+++ b/crates/peridotdeck-relay/src/stream.rs
@@ -122,7 +122,7 @@
             let flight = &self.forwarding.flight;
             let time = now.saturating_sub(flight.arrived);
             let metrics = &self.forwarding.shared.metrics;
-            metrics.first(&flight.route.name, flight.organisation_name(), time);
+            metrics.observe_first_answer(&flight.route.name, flight.organisation_name(), time);
             self.forwarding.time_to_first = Some(time);
         } else {
             let pause = now.saturating_sub(self.last_sent);
--- a/crates/peridotdeck-router/tests/testsuite/site.rs
+++ b/crates/peridotdeck-router/tests/testsuite/site.rs
@@ -142,7 +142,7 @@
         let count = self.routers.len();
         for router in &self.routers {
             loop {
-                let ready = router.handle().look(move |node, _| {
+                let ready = router.handle().inspect(move |node, _| {
                     node.is_ready()
                         && node.view().live_count() == count
                         && node.witness().is_ready()
@@ -185,7 +185,7 @@
 }
 
 pub async fn send(address: SocketAddr, request: Request) -> Response {
-    client::call(address, request, PATIENCE).await.unwrap()
+    client::request(address, request, PATIENCE).await.unwrap()
 }
 
 pub async fn value(mut response: Response) -> Value {
