--- a/crates/peridotdeck-core/tests/testsuite/claims.rs
+++ b/crates/peridotdeck-core/tests/testsuite/claims.rs
@@ -9,7 +9,7 @@
 };
 use peridotdeck_wire::Member;
 
-use crate::world::{Ending, World, reorder};
+use crate::simulation::{Ending, World, reorder};
 
 const THREE: [(&str, usize); 3] = [("a", 2), ("b", 2), ("c", 2)];
 
--- a/crates/peridotdeck-core/tests/testsuite/config.rs
+++ b/crates/peridotdeck-core/tests/testsuite/config.rs
@@ -4,7 +4,7 @@
 use peridotdeck_policy::{Class, split};
 use peridotdeck_wire::Part;
 
-use crate::world::{World, policy};
+use crate::simulation::{World, policy};
 
 fn parts(revision: u64) -> Vec<Part> {
     split(&policy(&[("a", 1)]))
--- a/crates/peridotdeck-core/tests/testsuite/fairness.rs
+++ b/crates/peridotdeck-core/tests/testsuite/fairness.rs
@@ -2,7 +2,7 @@
 
 use peridotdeck_core::queue::{Entry, Queue};
 
-use crate::world::{Ending, World, call};
+use crate::simulation::{Ending, World, call};
 
 fn entry(attempt: u64, tier: u8, organisation: &str) -> Entry {
     Entry {
--- a/crates/peridotdeck-core/tests/testsuite/handover.rs
+++ b/crates/peridotdeck-core/tests/testsuite/handover.rs
@@ -2,7 +2,7 @@
 
 use peridotdeck_core::Event;
 
-use crate::world::{Ending, Noise, World, call, reorder};
+use crate::simulation::{Ending, Noise, World, call, reorder};
 
 fn owner_seat(world: &World) -> usize {
     let owns = |seat: &usize| {
--- a/crates/peridotdeck-core/tests/testsuite/main.rs
+++ b/crates/peridotdeck-core/tests/testsuite/main.rs
@@ -19,5 +19,5 @@
 mod recovery;
 mod roster_lapse;
 mod shared_bounds;
+mod simulation;
 mod stream_pauses;
-mod world;
--- a/crates/peridotdeck-core/tests/testsuite/membership.rs
+++ b/crates/peridotdeck-core/tests/testsuite/membership.rs
@@ -6,7 +6,7 @@
 use peridotdeck_policy::digest_name;
 use peridotdeck_wire::{Body, Envelope, Fetch, Member};
 
-use crate::world::{Ending, World, call};
+use crate::simulation::{Ending, World, call};
 
 #[test]
 fn all_live() {
--- a/crates/peridotdeck-core/tests/testsuite/poison.rs
+++ b/crates/peridotdeck-core/tests/testsuite/poison.rs
@@ -6,7 +6,7 @@
     request::Cause,
 };
 
-use crate::world::{Ending, World, call};
+use crate::simulation::{Ending, World, call};
 
 #[test]
 fn two_strikes() {
--- a/crates/peridotdeck-core/tests/testsuite/preemption.rs
+++ b/crates/peridotdeck-core/tests/testsuite/preemption.rs
@@ -1,6 +1,6 @@
 //! Interactive work displaces bulk, and never the other way round.
 
-use crate::world::{Ending, SLOTS, World, call};
+use crate::simulation::{Ending, SLOTS, World, call};
 
 #[test]
 fn bulk_gives_way() {
--- a/crates/peridotdeck-core/tests/testsuite/random.rs
+++ b/crates/peridotdeck-core/tests/testsuite/random.rs
@@ -11,7 +11,7 @@
 use bolero::{TypeGenerator, check};
 use peridotdeck_core::Event;
 
-use crate::world::{Noise, World, call, reorder};
+use crate::simulation::{Noise, World, call, reorder};
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
@@ -115,7 +115,7 @@
                 world
                     .endings
                     .entry(request)
-                    .or_insert(crate::world::Ending::Gone);
+                    .or_insert(crate::simulation::Ending::Gone);
                 world.give(seat(at), Event::Abandoned { request });
             }
         }
--- a/crates/peridotdeck-core/tests/testsuite/recovery.rs
+++ b/crates/peridotdeck-core/tests/testsuite/recovery.rs
@@ -2,7 +2,7 @@
 
 use peridotdeck_core::{Verdict, request::Cause};
 
-use crate::world::{Ending, World, call, reorder};
+use crate::simulation::{Ending, World, call, reorder};
 
 #[test]
 fn crash_is_survived() {
