--- a/crates/peridotdeck-core/benches/decision.rs
+++ b/crates/peridotdeck-core/benches/decision.rs
@@ -9,8 +9,11 @@
 use peridotdeck_policy::{Class, Organisation, Policy, Service, Snapshot};
 use peridotdeck_wire::{Ask, Beat, Done, Member, Outcome};
 
+/// Engines of the data centre.
 const ENGINES: u16 = 145;
+/// Router nodes of the data centre.
 const NODES: u32 = 60;
+/// Time of every decision, since the start of the node.
 const NOW: Duration = Duration::from_secs(100);
 
 fn snapshot() -> Arc<Snapshot> {
@@ -23,7 +26,8 @@
         .organisation(Organisation::named("matrah"))
         .service(model);
     Arc::new(
-        Snapshot::new(policy.build().expect("the configuration is valid")).expect("it is checked"),
+        Snapshot::new(policy.build().expect("the configuration is valid"))
+            .expect("the configuration passes the check"),
     )
 }
 
@@ -86,7 +90,7 @@
     });
 }
 
-/// A scheduler of eight warm engines, half full.
+/// Returns a scheduler of eight warm engines with half their slots in use, and its pool's id.
 fn scheduler(snapshot: &Arc<Snapshot>) -> (Scheduler, u64) {
     let pool = snapshot.pools()[0].clone();
     let id = pool.id;
--- a/crates/peridotdeck-core/tests/testsuite/claims.rs
+++ b/crates/peridotdeck-core/tests/testsuite/claims.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated runs at most once, over all nodes.
+//! A request that must not run twice runs at most once, over all nodes.
 
 use std::time::Duration;
 
@@ -9,12 +9,13 @@
 };
 use peridotdeck_wire::Member;
 
-use crate::simulation::{Ending, World, reorder};
+use crate::simulation::{Ending, Simulation, reorder_call};
 
-const THREE: [(&str, usize); 3] = [("a", 2), ("b", 2), ("c", 2)];
+/// Names of three data centres, each with its number of VMs.
+const THREE_DATA_CENTRES: [(&str, usize); 3] = [("a", 2), ("b", 2), ("c", 2)];
 
-fn refusal(world: &World, request: u64) -> (Verdict, Cause) {
-    match &world.endings[&request] {
+fn refusal(sim: &Simulation, request: u64) -> (Verdict, Cause) {
+    match &sim.endings[&request] {
         Ending::Refused(refusal) => (refusal.verdict, refusal.cause),
         other => panic!("expected a refusal, not {other:?}"),
     }
@@ -22,29 +23,29 @@
 
 #[test]
 fn runs_once() {
-    let mut world = World::settled(&THREE, 1);
-    let request = world.send(0, reorder(7)).unwrap();
-    world.run(1_000);
-    assert_eq!(world.endings[&request], Ending::Finished);
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 1);
+    let request = sim.send(0, reorder_call(7)).unwrap();
+    sim.advance_ms(1_000);
+    assert_eq!(sim.endings[&request], Ending::Finished);
 }
 
 #[test]
 fn replays_answer() {
-    let mut world = World::settled(&THREE, 2);
-    world.send(0, reorder(7)).unwrap();
-    world.run(1_000);
-    let again = world.send(4, reorder(7)).unwrap();
-    world.run(1_000);
-    assert_eq!(world.endings[&again], Ending::Replayed);
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 2);
+    sim.send(0, reorder_call(7)).unwrap();
+    sim.advance_ms(1_000);
+    let again = sim.send(4, reorder_call(7)).unwrap();
+    sim.advance_ms(1_000);
+    assert_eq!(sim.endings[&again], Ending::Replayed);
 }
 
 #[test]
 fn concurrent_copies() {
-    let mut world = World::settled(&THREE, 3);
-    let first = world.send(0, reorder(7)).unwrap();
-    let second = world.send(5, reorder(7)).unwrap();
-    world.run(6_000);
-    let ends = [&world.endings[&first], &world.endings[&second]];
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 3);
+    let first = sim.send(0, reorder_call(7)).unwrap();
+    let second = sim.send(5, reorder_call(7)).unwrap();
+    sim.advance_ms(6_000);
+    let ends = [&sim.endings[&first], &sim.endings[&second]];
     assert!(
         ends.contains(&&Ending::Finished) && ends.contains(&&Ending::Replayed),
         "{ends:?}"
@@ -52,109 +53,112 @@
 }
 
 #[test]
-fn other_body() {
-    let mut world = World::settled(&THREE, 4);
-    world.send(0, reorder(7)).unwrap();
-    world.run(1_000);
-    let mut call = reorder(7);
+fn key_reused_with_other_body() {
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 4);
+    sim.send(0, reorder_call(7)).unwrap();
+    sim.advance_ms(1_000);
+    let mut call = reorder_call(7);
     call.claim.as_mut().unwrap().digest = 8;
-    let again = world.send(1, call).unwrap();
-    world.run(1_000);
-    assert_eq!(refusal(&world, again), (Verdict::NotRun, Cause::KeyReused));
+    let again = sim.send(1, call).unwrap();
+    sim.advance_ms(1_000);
+    assert_eq!(refusal(&sim, again), (Verdict::NotRun, Cause::KeyReused));
 }
 
+/// A node dies while its attempt runs, so no node knows whether the request ran.
 #[test]
-fn dead_sender() {
-    let mut world = World::settled(&THREE, 5);
-    world.send(0, reorder(7)).unwrap();
-    world.run(60);
-    assert_eq!(world.key_runs.len(), 1, "the call has been sent");
-    world.kill(0);
-    let again = world.send(3, reorder(7)).unwrap();
-    world.run(8_000);
+fn node_dies_during_run() {
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 5);
+    sim.send(0, reorder_call(7)).unwrap();
+    sim.advance_ms(60);
+    assert_eq!(sim.runs_by_key.len(), 1, "the request has been sent");
+    sim.kill_node(0);
+    let again = sim.send(3, reorder_call(7)).unwrap();
+    sim.advance_ms(8_000);
     assert_eq!(
-        refusal(&world, again),
+        refusal(&sim, again),
         (Verdict::MayHaveRun, Cause::MayHaveRun)
     );
 }
 
+/// A node pauses before it has its votes, and wakes after another node got the same key.
 #[test]
-fn sender_wakes_late() {
-    let mut world = World::settled(&THREE, 6);
-    world.noise.delay_ms = 40;
-    world.send(0, reorder(7)).unwrap();
-    world.run(2);
-    world.pause(0, Duration::from_secs(30));
-    let again = world.send(3, reorder(7)).unwrap();
-    world.run(45_000);
-    assert!(world.endings.contains_key(&again));
-    assert!(world.key_runs.values().all(|&runs| runs <= 1));
+fn node_wakes_late() {
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 6);
+    sim.network.max_delay_ms = 40;
+    sim.send(0, reorder_call(7)).unwrap();
+    sim.advance_ms(2);
+    sim.pause_node(0, Duration::from_secs(30));
+    let again = sim.send(3, reorder_call(7)).unwrap();
+    sim.advance_ms(45_000);
+    assert!(sim.endings.contains_key(&again));
+    assert!(sim.runs_by_key.values().all(|&runs| runs <= 1));
 }
 
 #[test]
-fn lost_place() {
-    let mut world = World::settled(&THREE, 7);
-    world.cut = vec!["b".to_owned()];
-    world.run(7_000);
-    let request = world.send(0, reorder(9)).unwrap();
-    let behind_cut = world.send(2, reorder(10)).unwrap();
-    world.run(8_000);
+fn partitioned_data_centre() {
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 7);
+    sim.partitioned = vec!["b".to_owned()];
+    sim.advance_ms(7_000);
+    let request = sim.send(0, reorder_call(9)).unwrap();
+    let in_partition = sim.send(2, reorder_call(10)).unwrap();
+    sim.advance_ms(8_000);
     assert_eq!(
-        world.endings[&request],
+        sim.endings[&request],
         Ending::Finished,
         "two of three witnesses are enough"
     );
     assert_eq!(
-        refusal(&world, behind_cut),
+        refusal(&sim, in_partition),
         (Verdict::NotRun, Cause::NoWitness)
     );
 }
 
+/// All nodes restart one after the other, each with empty memory.
 #[test]
-fn empty_restart() {
-    let mut world = World::settled(&THREE, 8);
-    world.send(0, reorder(7)).unwrap();
-    world.run(1_000);
-    for seat in 0..6 {
-        world.kill(seat);
-        world.start(seat);
-        world.run(4_000);
+fn rolling_restart() {
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 8);
+    sim.send(0, reorder_call(7)).unwrap();
+    sim.advance_ms(1_000);
+    for vm in 0..6 {
+        sim.kill_node(vm);
+        sim.start_node(vm);
+        sim.advance_ms(4_000);
     }
-    let again = world.send(1, reorder(7)).unwrap();
-    world.run(6_000);
+    let again = sim.send(1, reorder_call(7)).unwrap();
+    sim.advance_ms(6_000);
     assert_eq!(
-        world.endings[&again],
+        sim.endings[&again],
         Ending::Replayed,
-        "restarted witnesses asked the others"
+        "restarted witnesses fetched the claims from the others"
     );
 }
 
 #[test]
-fn unready_refuses() {
-    let mut world = World::settled(&THREE, 9);
-    // Both other places are out of reach, so a restarted witness cannot learn what it must know.
-    world.cut = vec!["a".to_owned()];
-    world.kill(0);
-    world.start(0);
-    world.run(5_000);
-    assert!(!world.node(0).witness().is_ready());
+fn witness_unready_in_partition() {
+    let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 9);
+    // The partition hides both other data centres, so a restarted witness cannot learn their claims.
+    sim.partitioned = vec!["a".to_owned()];
+    sim.kill_node(0);
+    sim.start_node(0);
+    sim.advance_ms(5_000);
+    assert!(!sim.node(0).witness().is_ready());
 }
 
 #[test]
-fn forgets_late() {
-    let mut world = World::settled(&[("a", 1)], 10);
-    world.send(0, reorder(7)).unwrap();
-    world.run(1_000);
-    assert_eq!(world.node(0).witness().len(), 1);
-    world.run(RETENTION.as_millis() as u64 + 1_000);
-    assert_eq!(world.node(0).witness().len(), 0);
+fn forgets_after_retention() {
+    let mut sim = Simulation::settled(&[("a", 1)], 10);
+    sim.send(0, reorder_call(7)).unwrap();
+    sim.advance_ms(1_000);
+    assert_eq!(sim.node(0).witness().len(), 1);
+    sim.advance_ms(RETENTION.as_millis() as u64 + 1_000);
+    assert_eq!(sim.node(0).witness().len(), 0);
 }
 
 #[test]
 fn spread_witnesses() {
-    let member = |node: u32, place: &str| Member {
+    let member = |node: u32, data_centre: &str| Member {
         node,
-        place: place.to_owned(),
+        place: data_centre.to_owned(),
         peers: String::new(),
         callers: String::new(),
         leaving: false,
@@ -164,12 +168,16 @@
         .collect();
     for key in 0..100 {
         let chosen = choose_witnesses(&format!("{key:032x}"), &members);
-        let mut places: Vec<&str> = chosen
+        let mut data_centres: Vec<&str> = chosen
             .iter()
             .map(|&node| members[node as usize].place.as_str())
             .collect();
-        places.sort_unstable();
-        places.dedup();
-        assert_eq!(places.len(), 3, "three data centres hold key {key}");
+        data_centres.sort_unstable();
+        data_centres.dedup();
+        assert_eq!(
+            data_centres.len(),
+            3,
+            "the witnesses of key {key} are in three data centres"
+        );
     }
 }
--- a/crates/peridotdeck-core/tests/testsuite/config.rs
+++ b/crates/peridotdeck-core/tests/testsuite/config.rs
@@ -1,13 +1,13 @@
-//! Configurations come into force everywhere and never revert.
+//! Every node adopts the newest configuration, and revisions never decrease.
 
 use peridotdeck_core::config::{Change, Store};
 use peridotdeck_policy::{Class, split};
 use peridotdeck_wire::Part;
 
-use crate::simulation::{World, policy};
+use crate::simulation::{Simulation, build_config};
 
 fn parts(revision: u64) -> Vec<Part> {
-    split(&policy(&[("a", 1)]))
+    split(&build_config(&[("a", 1)]))
         .into_iter()
         .map(|(key, value)| Part {
             key,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn refuses_whole() {
+fn rejects_whole_revision() {
     let mut store = Store::default();
     store.apply(0, 1, &parts(1));
     let broken = Part {
@@ -35,7 +35,7 @@
         value: "[]".to_owned(),
     };
     let Change::Rejected(errors) = store.apply(1, 2, &[broken]) else {
-        panic!("it must be refused")
+        panic!("the revision must be rejected")
     };
     assert!(
         errors.iter().any(|error| error.contains("place")),
@@ -44,7 +44,7 @@
     assert_eq!((store.revision(), store.rejected_revision()), (1, 2));
     assert!(
         matches!(store.apply(1, 3, &parts(3)), Change::Adopted(_)),
-        "the next one is not held up"
+        "the next valid revision is adopted"
     );
 }
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn sends_deltas() {
+fn returns_changed_parts() {
     let mut store = Store::default();
     store.apply(0, 1, &parts(1));
     let mut changed = parts(1);
@@ -74,32 +74,31 @@
 }
 
 #[test]
-fn reaches_all() {
-    let mut world = World::settled(&[("a", 4), ("b", 4)], 1);
-    world
-        .config
+fn reaches_all_nodes() {
+    let mut sim = Simulation::settled(&[("a", 4), ("b", 4)], 1);
+    sim.config
         .classes
         .push(Class::interactive("new", 2).whole_ms(100));
-    world.publish();
-    world.run(4_000);
-    for seat in 0..8 {
-        assert_eq!(world.node(seat).config().revision(), world.revision);
+    sim.publish();
+    sim.advance_ms(4_000);
+    for vm in 0..8 {
+        assert_eq!(sim.node(vm).config().revision(), sim.revision);
     }
 }
 
 #[test]
-fn stale_start() {
-    let mut world = World::settled(&[("a", 3)], 2);
-    world.publish();
-    world.run(4_000);
-    // The platform serves an old revision to a node that starts empty.
-    world.stale = Some(1);
-    world.kill(1);
-    world.start(1);
-    world.run(3_000);
+fn starts_with_stale_platform() {
+    let mut sim = Simulation::settled(&[("a", 3)], 2);
+    sim.publish();
+    sim.advance_ms(4_000);
+    // The platform serves an old revision to a node that starts with empty memory.
+    sim.stale_revision = Some(1);
+    sim.kill_node(1);
+    sim.start_node(1);
+    sim.advance_ms(3_000);
     assert_eq!(
-        world.node(1).config().revision(),
-        world.revision,
-        "peers know better than the platform"
+        sim.node(1).config().revision(),
+        sim.revision,
+        "the node has the newer revision from its peers"
     );
 }
--- a/crates/peridotdeck-core/tests/testsuite/fairness.rs
+++ b/crates/peridotdeck-core/tests/testsuite/fairness.rs
@@ -1,8 +1,8 @@
-//! Customers share within a class, urgent classes come first, and every class is served.
+//! Organisations share a class fairly, urgent classes come first, and every class is served.
 
 use peridotdeck_core::queue::{Entry, Queue};
 
-use crate::simulation::{Ending, World, call};
+use crate::simulation::{Ending, Simulation, call};
 
 fn entry(attempt: u64, tier: u8, organisation: &str) -> Entry {
     Entry {
@@ -23,7 +23,8 @@
     }
 }
 
-fn order(queue: &mut Queue) -> Vec<u64> {
+/// Empties the queue and returns the attempts in the order in which it served them.
+fn drain_in_order(queue: &mut Queue) -> Vec<u64> {
     let mut served = Vec::new();
     while let Some(attempt) = queue.next(|_| false, |_| true) {
         let entry = queue.remove(attempt).unwrap();
@@ -34,14 +35,14 @@
 }
 
 #[test]
-fn customers_alternate() {
+fn organisations_alternate() {
     let mut queue = Queue::default();
     for attempt in 1..=4 {
         queue.push(entry(attempt, 0, "matrah"));
     }
     queue.push(entry(5, 0, "barka"));
     queue.push(entry(6, 0, "barka"));
-    assert_eq!(order(&mut queue), [1, 5, 2, 6, 3, 4]);
+    assert_eq!(drain_in_order(&mut queue), [1, 5, 2, 6, 3, 4]);
 }
 
 #[test]
@@ -50,11 +51,11 @@
     queue.push(entry(1, 4, "matrah"));
     queue.push(entry(2, 1, "matrah"));
     queue.push(entry(3, 0, "matrah"));
-    assert_eq!(order(&mut queue), [3, 2, 1]);
+    assert_eq!(drain_in_order(&mut queue), [3, 2, 1]);
 }
 
 #[test]
-fn starved_first() {
+fn bulk_below_minimum_share_first() {
     let mut queue = Queue::default();
     queue.push(entry(1, 0, "matrah"));
     queue.push(entry(2, 4, "matrah"));
@@ -62,13 +63,13 @@
 }
 
 #[test]
-fn drafts_progress() {
-    let mut world = World::settled(&[("a", 1)], 3);
-    let draft = world.send(0, call("draft", "barka", 1)).unwrap();
-    // Interactive work alone would fill every slot for the whole time.
+fn bulk_is_not_starved() {
+    let mut sim = Simulation::settled(&[("a", 1)], 3);
+    let draft = sim.send(0, call("draft", "barka", 1)).unwrap();
+    // The interactive requests alone would fill every slot for the whole time.
     for serial in 0..400 {
-        world.send(0, call("counter", "matrah", 100 + serial));
-        world.run(10);
+        sim.send(0, call("counter", "matrah", 100 + serial));
+        sim.advance_ms(10);
     }
-    assert_eq!(world.endings.get(&draft), Some(&Ending::Finished));
+    assert_eq!(sim.endings.get(&draft), Some(&Ending::Finished));
 }
--- a/crates/peridotdeck-core/tests/testsuite/main.rs
+++ b/crates/peridotdeck-core/tests/testsuite/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the decision core: single mechanisms, and several nodes whose messages the tests delay,
-//! drop, copy and reorder.
+//! Tests of the decision core: single mechanisms, and simulated clusters whose messages are delayed,
+//! dropped, duplicated and reordered.
 
 mod attempt_ends;
 mod claims;
--- a/crates/peridotdeck-core/tests/testsuite/numbering.rs
+++ b/crates/peridotdeck-core/tests/testsuite/numbering.rs
@@ -1,4 +1,4 @@
-//! Attempts and requests have numbers of their own over all nodes and restarts.
+//! Ids of requests and attempts are unique over all nodes and restarts.
 
 use peridotdeck_core::id::Generator;
 
--- a/crates/peridotdeck-core/tests/testsuite/poison.rs
+++ b/crates/peridotdeck-core/tests/testsuite/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes endpoints stops before the third.
+//! A request that crashed two endpoints is quarantined before it reaches a third.
 
 use peridotdeck_core::{
     Verdict,
@@ -6,10 +6,10 @@
     request::Cause,
 };
 
-use crate::simulation::{Ending, World, call};
+use crate::simulation::{Ending, Simulation, call};
 
 #[test]
-fn two_strikes() {
+fn quarantined_after_two_crashes() {
     let mut list = List::default();
     let now = std::time::Duration::ZERO;
     assert!(list.record_crash(7, 1, now));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn innocent_cleared() {
+fn cleared_forgets_crashes() {
     let mut list = List::default();
     list.record_crash(7, 1, std::time::Duration::ZERO);
     list.clear(7);
@@ -32,36 +32,36 @@
 }
 
 #[test]
-fn third_endpoint_spared() {
-    let mut world = World::settled(&[("a", 2), ("b", 2), ("c", 2)], 1);
-    let deadly = call("draft", "matrah", 666);
+fn never_reaches_third_endpoint() {
+    let mut sim = Simulation::settled(&[("a", 2), ("b", 2), ("c", 2)], 1);
+    let crashing = call("draft", "matrah", 666);
     let mut crashed = Vec::new();
-    // The caller sends the request to every node, again and again; each endpoint that gets it dies.
+    // The caller sends the request to every node twice; each endpoint that receives it crashes.
     for round in 0..12 {
-        world.send(round % 6, deadly.clone());
+        sim.send(round % 6, crashing.clone());
         for _ in 0..40 {
-            world.run(25);
-            let hit: Vec<u32> = (0..6)
-                .flat_map(|seat| world.node(seat).request_table().flights())
+            sim.advance_ms(25);
+            let running_at: Vec<u32> = (0..6)
+                .flat_map(|vm| sim.node(vm).request_table().flights())
                 .filter_map(|flight| match &flight.stage {
                     peridotdeck_core::flight::Stage::Running(running) => Some(running.endpoint),
                     _ => None,
                 })
                 .collect();
-            for endpoint in hit {
+            for endpoint in running_at {
                 crashed.push(endpoint);
-                world.crash(endpoint);
+                sim.crash_endpoint(endpoint);
             }
         }
     }
     crashed.sort_unstable();
     crashed.dedup();
-    assert_eq!(crashed.len(), 2, "endpoints {crashed:?} died");
-    let refused = world.endings.values().filter(
+    assert_eq!(crashed.len(), 2, "endpoints {crashed:?} crashed");
+    let refused = sim.endings.values().filter(
         |ending| matches!(ending, Ending::Refused(refusal) if refusal.cause == Cause::Quarantined),
     );
-    assert_eq!(refused.count(), 12, "every copy is told why");
-    let told: Vec<Verdict> = world
+    assert_eq!(refused.count(), 12, "every copy is refused with this cause");
+    let verdicts: Vec<Verdict> = sim
         .endings
         .values()
         .filter_map(|ending| match ending {
@@ -70,7 +70,8 @@
         })
         .collect();
     assert_eq!(
-        told.iter()
+        verdicts
+            .iter()
             .filter(|&&verdict| verdict == Verdict::MayHaveRun)
             .count(),
         1
--- a/crates/peridotdeck-core/tests/testsuite/simulation.rs
+++ b/crates/peridotdeck-core/tests/testsuite/simulation.rs
@@ -1,7 +1,7 @@
-//! A few nodes, a lossy network and endpoints that answer after a while.
+//! A simulated cluster: a few nodes, a lossy network and endpoints that answer after a delay.
 //!
-//! Invariants that span nodes are asserted here at every step; those of one node are asserted
-//! inside the program.
+//! The simulation asserts invariants that span nodes at every step. The program itself asserts
+//! those of a single node.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,9 +18,9 @@
 use peridotdeck_wire::{Delta, Envelope, Member, Outcome, Part};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// Slots of each engine when warm.
+/// Slots of each warm engine.
 pub const SLOTS: u32 = 4;
-/// Slots of each engine when cold.
+/// Slots of each cold engine.
 pub const COLD_SLOTS: u32 = 1;
 
 /// How a request ended for its caller.
@@ -29,76 +29,97 @@
     Finished,
     Refused(Refusal),
     Replayed,
-    Gone,
+    /// The caller disconnected, or the node that served it was killed.
+    Disconnected,
 }
 
-pub struct Seat {
+/// A VM and the router node that runs on it.
+pub struct Vm {
+    /// None while the node's process is dead.
     pub node: Option<Node>,
     pub id: id::Node,
-    pub place: String,
+    pub data_centre: String,
     started: Duration,
     incarnation: u64,
     sequence: u64,
     paused_until: Duration,
-    highest: id::Revision,
+    /// Newest configuration revision that this process had in force.
+    highest_revision: id::Revision,
 }
 
-struct Letter {
+/// A message that is still on its way.
+struct Message {
     due: Duration,
     to: id::Node,
     envelope: Envelope,
 }
 
+/// An attempt at an endpoint.
 struct Run {
-    seat: usize,
+    vm: usize,
     request: id::Request,
     attempt: id::Attempt,
     endpoint: id::Endpoint,
     end: Duration,
-    state: Reach,
+    state: RunState,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Reach {
+enum RunState {
     Running,
+    /// The attempt did not reach the endpoint.
     Unreachable,
+    /// The endpoint crashed during the run.
     Broken,
 }
 
+/// Faults of the network between nodes.
 #[derive(Clone, Copy, Default)]
-pub struct Noise {
+pub struct Network {
+    /// Probability that a message is lost.
     pub loss: f64,
-    pub copies: f64,
-    pub delay_ms: u64,
+    /// Probability that a message is delivered twice.
+    pub duplication: f64,
+    /// Longest delivery time in ms; each message's time is random between 0 and this.
+    pub max_delay_ms: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Duration,
-    pub seats: Vec<Seat>,
-    pub noise: Noise,
+    pub vms: Vec<Vm>,
+    pub network: Network,
+    /// Time that each endpoint takes for a request.
     pub service_time: Duration,
     pub endings: BTreeMap<id::Request, Ending>,
-    pub key_runs: BTreeMap<String, u32>,
-    pub down: Vec<id::Endpoint>,
-    pub cut: Vec<String>,
+    /// Runs per idempotency key.
+    pub runs_by_key: BTreeMap<String, u32>,
+    /// Endpoints that no node can reach.
+    pub unreachable: Vec<id::Endpoint>,
+    /// Data centres that reach neither the other data centres nor the platform.
+    pub partitioned: Vec<String>,
     pub config: Config,
     pub revision: id::Revision,
     /// Revision that the platform serves while it is stale.
-    pub stale: Option<id::Revision>,
+    pub stale_revision: Option<id::Revision>,
+    /// Events that all nodes have handled.
     pub events: u64,
-    pub runs_of: BTreeMap<id::Endpoint, u32>,
-    pub finished_of: BTreeMap<id::Endpoint, u32>,
+    pub runs_by_endpoint: BTreeMap<id::Endpoint, u32>,
+    pub finished_by_endpoint: BTreeMap<id::Endpoint, u32>,
     boots: BTreeMap<id::Endpoint, u64>,
     crashed_at: BTreeMap<id::Endpoint, Duration>,
     parts: Vec<Part>,
-    roster: id::Revision,
-    letters: Vec<Letter>,
+    vm_list_revision: id::Revision,
+    messages: Vec<Message>,
     runs: Vec<Run>,
+    /// Requests that have reached an endpoint.
     reached: Vec<id::Request>,
     rng: SmallRng,
 }
 
-pub fn policy(places: &[(&str, usize)]) -> Config {
+/// Builds a configuration with two engines and one plain endpoint in each data centre.
+///
+/// Each entry of `data_centres` is a name and the number of VMs there.
+pub fn build_config(data_centres: &[(&str, usize)]) -> Config {
     let mut policy = Policy::new()
         .class(Class::interactive("counter", 0).first_token_ms(440))
         .class(Class::interactive("advice", 1).first_token_ms(1_000))
@@ -122,13 +143,13 @@
         );
     let mut model = Service::model("wickmind", "counter");
     let mut plain = Service::plain("refill-desk", "reorder").unrepeatable("/", "reorder");
-    for (index, (place, _)) in places.iter().enumerate() {
-        policy = policy.place(place, &format!("region-{index}"));
+    for (index, (data_centre, _)) in data_centres.iter().enumerate() {
+        policy = policy.place(data_centre, &format!("region-{index}"));
         for port in 0..2 {
             let address = format!("127.0.0.1:{}", 9_000 + index * 10 + port);
-            model = model.sized_endpoint(place, &address, SLOTS, COLD_SLOTS);
+            model = model.sized_endpoint(data_centre, &address, SLOTS, COLD_SLOTS);
         }
-        plain = plain.sized_endpoint(place, &format!("127.0.0.1:{}", 9_500 + index), 64, 64);
+        plain = plain.sized_endpoint(data_centre, &format!("127.0.0.1:{}", 9_500 + index), 64, 64);
     }
     policy
         .service(model)
@@ -137,114 +158,119 @@
         .expect("the test configuration is valid")
 }
 
-impl World {
-    pub fn new(places: &[(&str, usize)], seed: u64) -> Self {
-        let mut world = Self {
+impl Simulation {
+    pub fn new(data_centres: &[(&str, usize)], seed: u64) -> Self {
+        let mut sim = Self {
             now: Duration::ZERO,
-            seats: Vec::new(),
-            noise: Noise {
-                delay_ms: 3,
-                ..Noise::default()
+            vms: Vec::new(),
+            network: Network {
+                max_delay_ms: 3,
+                ..Network::default()
             },
             service_time: Duration::from_millis(200),
             endings: BTreeMap::new(),
-            key_runs: BTreeMap::new(),
-            down: Vec::new(),
-            cut: Vec::new(),
-            config: policy(places),
+            runs_by_key: BTreeMap::new(),
+            unreachable: Vec::new(),
+            partitioned: Vec::new(),
+            config: build_config(data_centres),
             revision: 0,
-            stale: None,
+            stale_revision: None,
             events: 0,
-            runs_of: BTreeMap::new(),
-            finished_of: BTreeMap::new(),
+            runs_by_endpoint: BTreeMap::new(),
+            finished_by_endpoint: BTreeMap::new(),
             boots: BTreeMap::new(),
             crashed_at: BTreeMap::new(),
             parts: Vec::new(),
-            roster: 0,
-            letters: Vec::new(),
+            vm_list_revision: 0,
+            messages: Vec::new(),
             runs: Vec::new(),
             reached: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
         };
-        for (place, count) in places {
+        for (data_centre, count) in data_centres {
             for _ in 0..*count {
-                world.add_seat(place);
+                sim.add_vm(data_centre);
             }
         }
-        world.publish();
-        world.list();
-        world
+        sim.publish();
+        sim.advance_vm_list_revision();
+        sim
     }
 
-    /// Starts a world and lets it settle.
-    pub fn settled(places: &[(&str, usize)], seed: u64) -> Self {
-        let mut world = Self::new(places, seed);
-        world.run(8_000);
-        world
+    /// Starts a simulation and lets the nodes find each other and load the configuration.
+    pub fn settled(data_centres: &[(&str, usize)], seed: u64) -> Self {
+        let mut sim = Self::new(data_centres, seed);
+        sim.advance_ms(8_000);
+        sim
     }
 
-    /// Starts a world whose engines bear their full load.
-    pub fn warmed(places: &[(&str, usize)], seed: u64) -> Self {
-        let mut world = Self::settled(places, seed);
-        for service in &world.config.services {
-            world.finished_of.extend(
+    /// Starts a simulation whose engines are warm, so that all their slots are usable.
+    pub fn warmed(data_centres: &[(&str, usize)], seed: u64) -> Self {
+        let mut sim = Self::settled(data_centres, seed);
+        for service in &sim.config.services {
+            sim.finished_by_endpoint.extend(
                 service
                     .endpoints
                     .iter()
                     .map(|endpoint| (endpoint.id, SLOTS)),
             );
         }
-        world.run(2_000);
-        world
+        sim.advance_ms(2_000);
+        sim
     }
 
-    pub fn add_seat(&mut self, place: &str) -> usize {
-        let id = self.seats.len() as u32 + 1;
-        self.seats.push(Seat {
+    pub fn add_vm(&mut self, data_centre: &str) -> usize {
+        let id = self.vms.len() as u32 + 1;
+        self.vms.push(Vm {
             node: None,
             id,
-            place: place.to_owned(),
+            data_centre: data_centre.to_owned(),
             started: self.now,
             incarnation: 0,
             sequence: 0,
             paused_until: Duration::ZERO,
-            highest: 0,
+            highest_revision: 0,
         });
-        let seat = self.seats.len() - 1;
-        self.start(seat);
-        seat
+        let vm = self.vms.len() - 1;
+        self.start_node(vm);
+        vm
     }
 
-    /// Starts a seat's node, empty.
-    pub fn start(&mut self, seat: usize) {
+    /// Starts a VM's node with empty memory and a new incarnation.
+    pub fn start_node(&mut self, vm: usize) {
         let now = self.now;
-        let seat = &mut self.seats[seat];
-        seat.incarnation += 1;
-        seat.started = now;
-        seat.highest = 0;
-        seat.node = Some(Node::new(Setup {
-            node: seat.id,
-            data_centre: seat.place.clone(),
-            incarnation: seat.incarnation,
-            seed: u64::from(seat.id),
+        let vm = &mut self.vms[vm];
+        vm.incarnation += 1;
+        vm.started = now;
+        vm.highest_revision = 0;
+        vm.node = Some(Node::new(Setup {
+            node: vm.id,
+            data_centre: vm.data_centre.clone(),
+            incarnation: vm.incarnation,
+            seed: u64::from(vm.id),
             strategy: Strategy::Deadline,
         }));
     }
 
-    /// A process dies: its runs go on at the endpoints, but nobody reads their answers.
-    pub fn kill(&mut self, seat: usize) {
-        if let Some(node) = self.seats[seat].node.take() {
+    /// Kills the process of a node.
+    ///
+    /// Its runs would go on at the endpoints, but no process is left that reads their answers, so
+    /// the simulation drops them.
+    pub fn kill_node(&mut self, vm: usize) {
+        if let Some(node) = self.vms[vm].node.take() {
             for flight in node.request_table().flights() {
-                self.endings.insert(flight.request, Ending::Gone);
+                self.endings.insert(flight.request, Ending::Disconnected);
             }
         }
-        self.runs.retain(|run| run.seat != seat);
+        self.runs.retain(|run| run.vm != vm);
     }
 
-    pub fn pause(&mut self, seat: usize, time: Duration) {
-        self.seats[seat].paused_until = self.now + time;
+    /// Suspends the process of a node.
+    pub fn pause_node(&mut self, vm: usize, time: Duration) {
+        self.vms[vm].paused_until = self.now + time;
     }
 
+    /// Publishes the current configuration under a new revision.
     pub fn publish(&mut self) {
         self.revision += 1;
         let parts: Parts = split(&self.config);
@@ -254,7 +280,7 @@
                 revision: self.revision,
                 value: value.to_string(),
             };
-            match self.parts.iter_mut().find(|each| each.key == part.key) {
+            match self.parts.iter_mut().find(|old| old.key == part.key) {
                 Some(old) if old.value == part.value => {}
                 Some(old) => *old = part,
                 None => self.parts.push(part),
@@ -262,34 +288,34 @@
         }
     }
 
-    pub fn list(&mut self) {
-        self.roster += 1;
+    /// Gives the VM list a new revision.
+    pub fn advance_vm_list_revision(&mut self) {
+        self.vm_list_revision += 1;
     }
 
     fn members(&self) -> Vec<Member> {
-        let seats = self.seats.iter();
-        seats
-            .map(|seat| Member {
-                node: seat.id,
-                place: seat.place.clone(),
-                peers: String::new(),
-                callers: String::new(),
-                leaving: false,
-            })
-            .collect()
-    }
-
-    /// The platform answers a seat's watch.
-    fn feed(&mut self, seat: usize) {
-        if self.cut.contains(&self.seats[seat].place) {
+        let vms = self.vms.iter();
+        vms.map(|vm| Member {
+            node: vm.id,
+            place: vm.data_centre.clone(),
+            peers: String::new(),
+            callers: String::new(),
+            leaving: false,
+        })
+        .collect()
+    }
+
+    /// Answers a node's watch as the platform does.
+    fn answer_watch(&mut self, vm: usize) {
+        if self.partitioned.contains(&self.vms[vm].data_centre) {
             return;
         }
-        let Some(node) = &self.seats[seat].node else {
+        let Some(node) = &self.vms[vm].node else {
             return;
         };
         let from = node.config().revision();
-        let to = self.stale.unwrap_or(self.revision);
-        if from >= to && node.view().vm_list_revision() >= self.roster {
+        let to = self.stale_revision.unwrap_or(self.revision);
+        if from >= to && node.view().vm_list_revision() >= self.vm_list_revision {
             return;
         }
         let parts = self
@@ -298,9 +324,9 @@
             .filter(|part| part.revision > from && part.revision <= to)
             .cloned()
             .collect();
-        let (roster, members) = (self.roster, self.members());
-        self.give(
-            seat,
+        let (roster, members) = (self.vm_list_revision, self.members());
+        self.handle_event(
+            vm,
             Event::Published(Delta {
                 nonce: 0,
                 from,
@@ -312,60 +338,60 @@
         );
     }
 
-    pub fn is_paused(&self, seat: usize) -> bool {
-        self.seats[seat].paused_until > self.now
+    pub fn is_paused(&self, vm: usize) -> bool {
+        self.vms[vm].paused_until > self.now
     }
 
-    pub fn give(&mut self, seat: usize, event: Event) {
+    pub fn handle_event(&mut self, vm: usize, event: Event) {
         self.events += 1;
-        let now = self.now.saturating_sub(self.seats[seat].started);
-        let Some(node) = self.seats[seat].node.as_mut() else {
+        let now = self.now.saturating_sub(self.vms[vm].started);
+        let Some(node) = self.vms[vm].node.as_mut() else {
             return;
         };
         let actions = node.handle(now, event);
         let revision = node.config().revision();
         assert!(
-            revision >= self.seats[seat].highest,
-            "a configuration reverted"
+            revision >= self.vms[vm].highest_revision,
+            "the configuration revision decreased"
         );
-        self.seats[seat].highest = revision;
+        self.vms[vm].highest_revision = revision;
         for action in actions {
-            self.act(seat, action);
+            self.perform(vm, action);
         }
     }
 
-    fn act(&mut self, seat: usize, action: Action) {
+    fn perform(&mut self, vm: usize, action: Action) {
         match action {
             Action::Dispatch {
                 request,
                 attempt,
                 endpoint,
-            } => self.dispatch(seat, request, attempt, endpoint),
+            } => self.dispatch(vm, request, attempt, endpoint),
             Action::Refuse { request, refusal } => {
                 let reached = self.reached.contains(&request);
                 assert!(
                     refusal.verdict != Verdict::NotRun || !reached,
-                    "an untrue not run"
+                    "a request that reached an endpoint was refused as not run"
                 );
-                self.finish(request, Ending::Refused(refusal));
+                self.record_ending(request, Ending::Refused(refusal));
             }
-            Action::Replay { request, .. } => self.finish(request, Ending::Replayed),
-            Action::Stop { attempt } => self.stop(attempt),
-            Action::Send { to, body } => self.post(seat, &to, body),
-            Action::Poll { endpoint } => self.report(seat, endpoint),
+            Action::Replay { request, .. } => self.record_ending(request, Ending::Replayed),
+            Action::Stop { attempt } => self.stop_attempt(attempt),
+            Action::Send { to, body } => self.send_message(vm, &to, body),
+            Action::Poll { endpoint } => self.report_load(vm, endpoint),
             _ => {}
         }
     }
 
-    fn report(&mut self, seat: usize, endpoint: id::Endpoint) {
-        if self.down.contains(&endpoint) || self.is_paused(seat) {
+    fn report_load(&mut self, vm: usize, endpoint: id::Endpoint) {
+        if self.unreachable.contains(&endpoint) || self.is_paused(vm) {
             return;
         }
-        let running = self.load(endpoint);
+        let running = self.count_running_at(endpoint);
         let boot = self.boots.get(&endpoint).copied().unwrap_or(0);
-        let warm = self.bears(endpoint) == SLOTS;
-        self.give(
-            seat,
+        let warm = self.slots(endpoint) == SLOTS;
+        self.handle_event(
+            vm,
             Event::Reported {
                 endpoint,
                 report: Report {
@@ -378,37 +404,44 @@
         );
     }
 
-    /// Requests that an endpoint runs; whether their readers stand still makes no difference to it.
-    fn load(&self, endpoint: id::Endpoint) -> u32 {
+    /// Returns the number of requests that an endpoint runs.
+    ///
+    /// Requests of paused nodes count, since the endpoint runs them all the same.
+    fn count_running_at(&self, endpoint: id::Endpoint) -> u32 {
         let at_endpoint = self.runs.iter().filter(|run| run.endpoint == endpoint);
         at_endpoint
-            .filter(|run| run.state == Reach::Running && run.end > self.now)
+            .filter(|run| run.state == RunState::Running && run.end > self.now)
             .count() as u32
     }
 
-    fn bears(&self, endpoint: id::Endpoint) -> u32 {
-        let finished = self.finished_of.get(&endpoint).copied().unwrap_or(0);
+    /// Returns the slots that an endpoint can use; each request that an engine finishes adds one until it is warm.
+    fn slots(&self, endpoint: id::Endpoint) -> u32 {
+        let finished = self
+            .finished_by_endpoint
+            .get(&endpoint)
+            .copied()
+            .unwrap_or(0);
         (COLD_SLOTS + finished).min(SLOTS)
     }
 
-    fn finish(&mut self, request: id::Request, ending: Ending) {
+    fn record_ending(&mut self, request: id::Request, ending: Ending) {
         let old = self.endings.insert(request, ending);
-        // A caller that has gone may still cause an end that nobody sees.
-        let first = old.is_none_or(|old| old == Ending::Gone);
-        assert!(first, "request {request:x} ended twice");
+        // A request may still end after its caller has disconnected.
+        let is_first = old.is_none_or(|old| old == Ending::Disconnected);
+        assert!(is_first, "request {request:x} ended twice");
     }
 
     fn dispatch(
         &mut self,
-        seat: usize,
+        vm: usize,
         request: id::Request,
         attempt: id::Attempt,
         endpoint: id::Endpoint,
     ) {
-        let node = self.seats[seat]
+        let node = self.vms[vm]
             .node
             .as_ref()
-            .expect("only running nodes dispatch");
+            .expect("the node that dispatches is running");
         let flight = node
             .request_table()
             .flights()
@@ -417,66 +450,69 @@
         let key = flight
             .and_then(|flight| flight.call.claim.as_ref())
             .map(|claim| claim.key.clone());
-        let unreachable = self.down.contains(&endpoint);
+        let unreachable = self.unreachable.contains(&endpoint);
         if !unreachable {
-            *self.runs_of.entry(endpoint).or_default() += 1;
+            *self.runs_by_endpoint.entry(endpoint).or_default() += 1;
             self.reached.push(request);
             if let Some(key) = key {
-                let runs = self.key_runs.entry(key).or_default();
+                let runs = self.runs_by_key.entry(key).or_default();
                 *runs += 1;
-                assert_eq!(*runs, 1, "a call that must run at most once ran twice");
+                assert_eq!(*runs, 1, "a request that must run at most once ran twice");
             }
         }
         let (end, state) = if unreachable {
-            (self.now, Reach::Unreachable)
+            (self.now, RunState::Unreachable)
         } else {
-            (self.now + self.service_time, Reach::Running)
+            (self.now + self.service_time, RunState::Running)
         };
         self.runs.push(Run {
-            seat,
+            vm,
             request,
             attempt,
             endpoint,
             end,
             state,
         });
-        self.check_cold(endpoint);
+        self.check_capacity(endpoint);
     }
 
-    /// All nodes together never give a cold endpoint more than it bears.
-    fn check_cold(&self, endpoint: id::Endpoint) {
-        let running = self.load(endpoint);
+    /// Asserts that all nodes together send an engine no more requests than it has slots.
+    ///
+    /// A warm engine may get two more, as explained below.
+    fn check_capacity(&self, endpoint: id::Endpoint) {
+        let running = self.count_running_at(endpoint);
         let is_engine = self.config.services.iter().any(|service| {
-            service.name == "wickmind" && service.endpoints.iter().any(|each| each.id == endpoint)
+            service.name == "wickmind"
+                && service.endpoints.iter().any(|engine| engine.id == endpoint)
         });
-        // An endpoint that restarts while nothing runs there can be found out only by the next load
-        // report, which owners read once a second.
+        // Owners notice the restart of an endpoint where nothing runs only from its next load report,
+        // which they fetch once a second.
         let crashed = self.crashed_at.get(&endpoint).copied();
-        if crashed.is_some_and(|at| self.now < at + Duration::from_millis(1_100)) {
+        if crashed.is_some_and(|time| self.now < time + Duration::from_millis(1_100)) {
             return;
         }
-        // A warm endpoint queues what the two nodes send that may help themselves while its owner
-        // does not answer; a cold one must not get more than it bears.
-        let own_shares = if self.bears(endpoint) == SLOTS { 2 } else { 0 };
-        let bears = self.bears(endpoint) + own_shares;
+        // While the owner does not answer, two nodes may send to a warm endpoint without a grant, and
+        // the endpoint queues these requests. A cold endpoint must never exceed its slots.
+        let ungranted = if self.slots(endpoint) == SLOTS { 2 } else { 0 };
+        let limit = self.slots(endpoint) + ungranted;
         assert!(
-            !is_engine || running <= bears,
-            "endpoint {endpoint} runs {running}, bears {bears}\n{}",
+            !is_engine || running <= limit,
+            "endpoint {endpoint} runs {running} requests; its limit is {limit}\n{}",
             self.describe(endpoint)
         );
     }
 
-    /// Who uses an endpoint, and what its owners think.
+    /// Describes the runs at an endpoint and the owners' view of it, for a failed assertion.
     fn describe(&self, endpoint: id::Endpoint) -> String {
         let mut lines = vec![format!("now {:?}", self.now)];
         for run in self.runs.iter().filter(|run| run.endpoint == endpoint) {
             lines.push(format!(
-                "seat {} runs {:x} until {:?}",
-                run.seat, run.attempt, run.end
+                "VM {} runs {:x} until {:?}",
+                run.vm, run.attempt, run.end
             ));
         }
-        for (index, seat) in self.seats.iter().enumerate() {
-            let Some(node) = &seat.node else { continue };
+        for (index, vm) in self.vms.iter().enumerate() {
+            let Some(node) = &vm.node else { continue };
             for pool in node.pools().schedulers() {
                 for engine in pool
                     .engines()
@@ -484,14 +520,12 @@
                     .filter(|engine| engine.id() == endpoint)
                 {
                     let (phase, in_flight) = (engine.phase(), engine.in_flight());
-                    lines.push(format!(
-                        "seat {index} owns: {phase:?}, {in_flight} in flight"
-                    ));
+                    lines.push(format!("VM {index} owns: {phase:?}, {in_flight} in flight"));
                 }
             }
             for flight in node.request_table().flights() {
                 lines.push(format!(
-                    "seat {index} {:x} {:?}",
+                    "VM {index} {:x} {:?}",
                     flight.request, flight.stage
                 ));
             }
@@ -499,23 +533,23 @@
         lines.join("\n")
     }
 
-    fn stop(&mut self, attempt: id::Attempt) {
-        if let Some(at) = self.runs.iter().position(|run| run.attempt == attempt) {
-            let run = self.runs.swap_remove(at);
-            let gone = self.endings.get(&run.request) == Some(&Ending::Gone);
-            let outcome = if gone {
+    fn stop_attempt(&mut self, attempt: id::Attempt) {
+        if let Some(index) = self.runs.iter().position(|run| run.attempt == attempt) {
+            let run = self.runs.swap_remove(index);
+            let disconnected = self.endings.get(&run.request) == Some(&Ending::Disconnected);
+            let outcome = if disconnected {
                 Outcome::Cancelled
             } else {
                 Outcome::Preempted
             };
-            self.end(&run, outcome);
+            self.end_attempt(&run, outcome);
         }
     }
 
-    fn end(&mut self, run: &Run, outcome: Outcome) {
+    fn end_attempt(&mut self, run: &Run, outcome: Outcome) {
         if outcome == Outcome::Finished {
-            *self.finished_of.entry(run.endpoint).or_default() += 1;
-            self.finish(run.request, Ending::Finished);
+            *self.finished_by_endpoint.entry(run.endpoint).or_default() += 1;
+            self.record_ending(run.request, Ending::Finished);
         }
         let end = End {
             outcome,
@@ -524,8 +558,8 @@
             duration: self.service_time,
             answer: Some((200, "done".to_owned())),
         };
-        self.give(
-            run.seat,
+        self.handle_event(
+            run.vm,
             Event::Ended {
                 attempt: run.attempt,
                 end,
@@ -533,62 +567,63 @@
         );
     }
 
-    /// An endpoint dies with everything that it runs.
-    pub fn crash(&mut self, endpoint: id::Endpoint) {
-        self.finished_of.insert(endpoint, 0);
+    /// Crashes an endpoint; the attempts that it runs end as broken.
+    pub fn crash_endpoint(&mut self, endpoint: id::Endpoint) {
+        self.finished_by_endpoint.insert(endpoint, 0);
         *self.boots.entry(endpoint).or_default() += 1;
         self.crashed_at.insert(endpoint, self.now);
         let now = self.now;
         for run in self.runs.iter_mut().filter(|run| run.endpoint == endpoint) {
-            (run.end, run.state) = (now, Reach::Broken);
+            (run.end, run.state) = (now, RunState::Broken);
         }
         self.finish_runs();
     }
 
-    fn post(&mut self, seat: usize, to: &Member, body: peridotdeck_wire::Body) {
-        let from = &mut self.seats[seat];
+    fn send_message(&mut self, vm: usize, to: &Member, body: peridotdeck_wire::Body) {
+        let from = &mut self.vms[vm];
         from.sequence += 1;
         let envelope = Envelope {
             sender: from.id,
             incarnation: from.incarnation,
-            place: digest_name(&from.place) as u32,
+            place: digest_name(&from.data_centre) as u32,
             sequence: from.sequence,
             body,
         };
-        let parted = from.place != to.place
-            && (self.cut.contains(&from.place) || self.cut.contains(&to.place));
-        if parted || self.rng.random_bool(self.noise.loss) {
+        let is_partitioned = from.data_centre != to.place
+            && (self.partitioned.contains(&from.data_centre)
+                || self.partitioned.contains(&to.place));
+        if is_partitioned || self.rng.random_bool(self.network.loss) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_bool(self.noise.copies));
+        let copies = 1 + usize::from(self.rng.random_bool(self.network.duplication));
         for _ in 0..copies {
-            let delay = Duration::from_millis(self.rng.random_range(0..=self.noise.delay_ms));
-            let letter = Letter {
+            let delay = Duration::from_millis(self.rng.random_range(0..=self.network.max_delay_ms));
+            let message = Message {
                 due: self.now + delay,
                 to: to.node,
                 envelope: envelope.clone(),
             };
-            self.letters.push(letter);
+            self.messages.push(message);
         }
     }
 
-    /// Lets time pass.
-    pub fn run(&mut self, ms: u64) {
+    /// Advances the simulated time in steps of 1 ms.
+    pub fn advance_ms(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
             self.step();
         }
     }
 
-    /// When no process is left that remembers, the endpoints are the only ones that could tell.
-    fn note_amnesia(&mut self) {
-        let remembers = |seat: &Seat| {
-            seat.node
+    /// Forgets all runs when no ready witness is left: only the endpoints would know of them then.
+    fn forget_unwitnessed_runs(&mut self) {
+        let is_ready_witness = |vm: &Vm| {
+            vm.node
                 .as_ref()
                 .is_some_and(|node| node.witness().is_ready())
         };
-        if self.now > Duration::from_secs(8) && !self.seats.iter().any(remembers) {
-            self.key_runs.clear();
+        if self.now > Duration::from_secs(8) && !self.vms.iter().any(is_ready_witness) {
+            self.runs_by_key.clear();
         }
     }
 
@@ -596,81 +631,84 @@
         /// Time between two deliveries.
         const STEP: Duration = Duration::from_millis(1);
         self.now += STEP;
-        self.note_amnesia();
-        self.deliver();
+        self.forget_unwitnessed_runs();
+        self.deliver_messages();
         self.finish_runs();
         if self
             .now
             .as_millis()
             .is_multiple_of(TICK_INTERVAL.as_millis())
         {
-            for seat in 0..self.seats.len() {
-                if !self.is_paused(seat) {
-                    self.give(seat, Event::Tick);
-                    self.feed(seat);
+            for vm in 0..self.vms.len() {
+                if !self.is_paused(vm) {
+                    self.handle_event(vm, Event::Tick);
+                    self.answer_watch(vm);
                 }
             }
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_messages(&mut self) {
         let now = self.now;
-        let paused: Vec<id::Node> = (0..self.seats.len())
-            .filter(|&seat| self.is_paused(seat))
-            .map(|seat| self.seats[seat].id)
+        let paused: Vec<id::Node> = (0..self.vms.len())
+            .filter(|&vm| self.is_paused(vm))
+            .map(|vm| self.vms[vm].id)
             .collect();
-        let due = |letter: &mut Letter| letter.due <= now && !paused.contains(&letter.to);
-        let letters: Vec<Letter> = self.letters.extract_if(.., due).collect();
-        for letter in letters {
-            if let Some(seat) = self.seats.iter().position(|seat| seat.id == letter.to) {
-                self.give(seat, Event::Message(letter.envelope));
+        let due = |message: &mut Message| message.due <= now && !paused.contains(&message.to);
+        let messages: Vec<Message> = self.messages.extract_if(.., due).collect();
+        for message in messages {
+            if let Some(vm) = self.vms.iter().position(|vm| vm.id == message.to) {
+                self.handle_event(vm, Event::Message(message.envelope));
             }
         }
     }
 
     fn finish_runs(&mut self) {
         let due: Vec<Run> = {
-            let (now, seats) = (self.now, &self.seats);
-            let ready = |run: &mut Run| run.end <= now && seats[run.seat].paused_until <= now;
+            let (now, vms) = (self.now, &self.vms);
+            let ready = |run: &mut Run| run.end <= now && vms[run.vm].paused_until <= now;
             self.runs.extract_if(.., ready).collect()
         };
         for run in due {
             let outcome = match run.state {
-                Reach::Running => Outcome::Finished,
-                Reach::Unreachable => Outcome::Unreachable,
-                Reach::Broken => Outcome::Broken,
+                RunState::Running => Outcome::Finished,
+                RunState::Unreachable => Outcome::Unreachable,
+                RunState::Broken => Outcome::Broken,
             };
-            self.end(&run, outcome);
+            self.end_attempt(&run, outcome);
         }
     }
 
-    /// Sends a request to a seat; none if its process is dead or stands still.
-    pub fn send(&mut self, seat: usize, call: Call) -> Option<id::Request> {
-        if self.is_paused(seat) {
+    /// Sends a request to a VM's node; returns none if its process is dead or paused.
+    pub fn send(&mut self, vm: usize, call: Call) -> Option<id::Request> {
+        if self.is_paused(vm) {
             return None;
         }
-        let request = self.seats[seat].node.as_mut()?.next_request_id();
-        self.give(seat, Event::Arrive { request, call });
+        let request = self.vms[vm].node.as_mut()?.next_request_id();
+        self.handle_event(vm, Event::Arrive { request, call });
         Some(request)
     }
 
-    pub fn node(&self, seat: usize) -> &Node {
-        self.seats[seat]
+    pub fn node(&self, vm: usize) -> &Node {
+        self.vms[vm]
             .node
             .as_ref()
-            .expect("the seat's process runs")
+            .expect("the VM's node is running")
     }
 
-    /// Sums over all nodes.
-    pub fn running(&self, class: &str) -> usize {
-        let nodes = self.seats.iter().filter_map(|seat| seat.node.as_ref());
+    /// Returns the number of running requests of a class, over all nodes.
+    pub fn count_running(&self, class: &str) -> usize {
+        let nodes = self.vms.iter().filter_map(|vm| vm.node.as_ref());
         let flights = nodes.flat_map(|node| node.request_table().flights());
         flights
-            .filter(|each| each.call.class == class && matches!(each.stage, Stage::Running(_)))
+            .filter(|flight| {
+                flight.call.class == class && matches!(flight.stage, Stage::Running(_))
+            })
             .count()
     }
 
-    pub fn finished(&self) -> usize {
+    /// Returns the number of finished requests, over all nodes.
+    pub fn count_finished(&self) -> usize {
         self.endings
             .values()
             .filter(|ending| **ending == Ending::Finished)
@@ -678,6 +716,7 @@
     }
 }
 
+/// Returns a resumable call to the model service.
 pub fn call(class: &str, organisation: &str, serial: u64) -> Call {
     Call {
         organisation: organisation.to_owned(),
@@ -693,7 +732,8 @@
     }
 }
 
-pub fn reorder(key: u64) -> Call {
+/// Returns a call of the class reorder, which has an idempotency key and runs at most once.
+pub fn reorder_call(key: u64) -> Call {
     Call {
         service: "refill-desk".to_owned(),
         class: "reorder".to_owned(),
