--- a/crates/peridotdeck-core/tests/testsuite/claims.rs
+++ b/crates/peridotdeck-core/tests/testsuite/claims.rs
@@ -80,7 +80,8 @@
     );
 }
 
-/// A node pauses before it has its votes, and wakes after another node got the same key.
+/// A node pauses 2 ms after it received the request, and wakes 30 s later; meanwhile another node
+/// received the same key.
 #[test]
 fn node_wakes_late() {
     let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 6);
@@ -136,7 +137,8 @@
 #[test]
 fn witness_unready_in_partition() {
     let mut sim = Simulation::settled(&THREE_DATA_CENTRES, 9);
-    // The partition hides both other data centres, so a restarted witness cannot learn their claims.
+    // The partition cuts off both other data centres, so a restarted witness cannot fetch their
+    // claims.
     sim.partitioned = vec!["a".to_owned()];
     sim.kill_node(0);
     sim.start_node(0);
--- a/crates/peridotdeck-core/tests/testsuite/membership.rs
+++ b/crates/peridotdeck-core/tests/testsuite/membership.rs
@@ -1,4 +1,5 @@
-//! Nodes detect which peers are alive, and keep serving during a network partition.
+//! Nodes detect which peers are alive, do not mistake a network partition for a crash, and keep
+//! serving during it.
 
 use std::time::Duration;
 
--- a/crates/peridotdeck-core/tests/testsuite/random.rs
+++ b/crates/peridotdeck-core/tests/testsuite/random.rs
@@ -189,7 +189,8 @@
     println!("events={}", events.load(Ordering::Relaxed));
 }
 
-/// An owner granted a slot again while the first grant of it was still on its way.
+/// A sequence that once failed: an owner granted a slot again while its first grant
+/// was still on its way.
 #[test]
 fn late_grants() {
     let mut steps = vec![
@@ -205,8 +206,8 @@
     run_steps(&steps, &[("a", 2), ("b", 2), ("c", 1)], true);
 }
 
-/// An owner freed the slot of a node that had just woken and requested it, because the node's last
-/// heartbeat was old.
+/// A sequence that once failed: an owner freed the slot of a node that had just woken and requested
+/// it, because the node's last heartbeat was old.
 #[test]
 fn woken_holder() {
     let steps = [
@@ -223,7 +224,8 @@
     run_steps(&steps, &[("a", 2), ("b", 2), ("c", 1)], true);
 }
 
-/// A restarted witness mistook a losing claim, received from a peer, for its own vote.
+/// A sequence that once failed: a restarted witness mistook a losing claim, received from a peer,
+/// for its own vote.
 #[test]
 fn restarted_witnesses() {
     let mut steps = vec![
@@ -242,7 +244,8 @@
     run_steps(&steps, &[("a", 2), ("b", 2), ("c", 1)], true);
 }
 
-/// A request stayed in the request table after a node had left while messages were lost.
+/// A sequence that once failed: a request stayed in the request table after a node had left while
+/// messages were lost.
 #[test]
 fn leave_amid_losses() {
     let mut steps = vec![
--- a/crates/peridotdeck-core/tests/testsuite/simulation.rs
+++ b/crates/peridotdeck-core/tests/testsuite/simulation.rs
@@ -414,7 +414,9 @@
             .count() as u32
     }
 
-    /// Returns the slots that an endpoint can use; each request that an engine finishes adds one until it is warm.
+    /// Returns the number of slots that an engine can use.
+    ///
+    /// Each request that it finishes adds one, until it is warm.
     fn slots(&self, endpoint: id::Endpoint) -> u32 {
         let finished = self
             .finished_by_endpoint
@@ -485,14 +487,14 @@
             service.name == "wickmind"
                 && service.endpoints.iter().any(|engine| engine.id == endpoint)
         });
-        // Owners notice the restart of an endpoint where nothing runs only from its next load report,
-        // which they fetch once a second.
+        // If nothing runs on an endpoint that restarts, owners notice the restart only from its next
+        // load report, which they fetch once a second.
         let crashed = self.crashed_at.get(&endpoint).copied();
         if crashed.is_some_and(|time| self.now < time + Duration::from_millis(1_100)) {
             return;
         }
-        // While the owner does not answer, two nodes may send to a warm endpoint without a grant, and
-        // the endpoint queues these requests. A cold endpoint must never exceed its slots.
+        // While the owner does not answer, two nodes may send to a warm endpoint without a grant;
+        // the endpoint queues these requests. A cold endpoint must never get more than its slots.
         let ungranted = if self.slots(endpoint) == SLOTS { 2 } else { 0 };
         let limit = self.slots(endpoint) + ungranted;
         assert!(
