--- a/crates/peridotdeck-core/tests/testsuite/simulation.rs
+++ b/crates/peridotdeck-core/tests/testsuite/simulation.rs
@@ -487,8 +487,8 @@
             service.name == "wickmind"
                 && service.endpoints.iter().any(|engine| engine.id == endpoint)
         });
-        // If nothing runs on an endpoint that restarts, owners notice the restart only from its next
-        // load report, which they fetch once a second.
+        // If nothing runs on an endpoint that restarts, owners notice the restart only from its
+        // next load report, which they fetch once a second.
         let crashed = self.crashed_at.get(&endpoint).copied();
         if crashed.is_some_and(|time| self.now < time + Duration::from_millis(1_100)) {
             return;
