--- a/crates/peridotdeck-core/tests/testsuite/main.rs
+++ b/crates/peridotdeck-core/tests/testsuite/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the decision core: single mechanisms, and several nodes whose messages the tests delay,
-//! drop, copy and reorder.
+//! Tests of the decision core: single mechanisms, and simulated clusters whose messages are delayed,
+//! dropped, duplicated and reordered.
 
 mod attempt_ends;
 mod claims;
@@ -19,5 +19,5 @@
 mod recovery;
 mod roster_lapse;
 mod shared_bounds;
+mod simulation;
 mod stream_pauses;
-mod world;
