--- a/crates/peridotdeck-router/tests/testsuite/callers.rs
+++ b/crates/peridotdeck-router/tests/testsuite/callers.rs
@@ -4,7 +4,7 @@
 use peridotdeck_fake::{plain::Fault, text};
 use serde_json::json;
 
-use crate::site::{Site, chat, error, fast, post, send, streamed, value};
+use crate::cluster::{Site, chat, error, fast, post, send, streamed, value};
 
 #[test]
 fn whole_answer() {
--- a/crates/peridotdeck-router/tests/testsuite/fleet.rs
+++ b/crates/peridotdeck-router/tests/testsuite/fleet.rs
@@ -5,7 +5,7 @@
 use async_std::{future::timeout, task, task::block_on};
 use peridotdeck_policy::{Class, split};
 
-use crate::site::{PATIENCE, Site, chat, fast, send, streamed};
+use crate::cluster::{PATIENCE, Site, chat, fast, send, streamed};
 
 #[test]
 fn change_reaches_all() {
--- a/crates/peridotdeck-router/tests/testsuite/http_limits.rs
+++ b/crates/peridotdeck-router/tests/testsuite/http_limits.rs
@@ -4,7 +4,7 @@
 
 use async_std::task::block_on;
 
-use crate::site::{Site, chat, fast, raw, send};
+use crate::cluster::{Site, chat, fast, raw, send};
 
 async fn still_serves(site: &Site) {
     let response = send(site.address(), chat(site.address(), "about 2 words", false)).await;
@@ -81,8 +81,8 @@
             "{}",
             r#"{"jsonrpc":"2.0","id":1,"method":"peer.deliver","params":[1]}"#,
         ] {
-            let request = crate::site::post(site.address(), "/rpc/peer", body);
-            let answer = crate::site::value(send(site.address(), request).await).await;
+            let request = crate::cluster::post(site.address(), "/rpc/peer", body);
+            let answer = crate::cluster::value(send(site.address(), request).await).await;
             assert!(answer["error"]["code"].as_i64().unwrap() < 0, "{answer}");
         }
         still_serves(&site).await;
--- a/crates/peridotdeck-router/tests/testsuite/operators.rs
+++ b/crates/peridotdeck-router/tests/testsuite/operators.rs
@@ -5,7 +5,7 @@
 use peridotdeck_http::client;
 use serde_json::json;
 
-use crate::site::{PATIENCE, Site, chat, fast, post, send, value};
+use crate::cluster::{PATIENCE, Site, chat, fast, post, send, value};
 
 async fn rpc(site: &Site, method: &str, params: serde_json::Value) -> serde_json::Value {
     let body = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params}).to_string();
--- a/crates/peridotdeck-router/tests/testsuite/streams.rs
+++ b/crates/peridotdeck-router/tests/testsuite/streams.rs
@@ -10,7 +10,7 @@
 };
 use peridotdeck_http::client;
 
-use crate::site::{Site, chat, fast, send, streamed, value};
+use crate::cluster::{Site, chat, fast, send, streamed, value};
 
 fn slow() -> Setting {
     Setting {
@@ -83,7 +83,7 @@
     block_on(async {
         let site = Site::start(&[slow()], 1).await;
         let request = chat(site.address(), "nobody reads about 5000 words", true);
-        let response = client::request(site.address(), request, crate::site::PATIENCE)
+        let response = client::request(site.address(), request, crate::cluster::PATIENCE)
             .await
             .unwrap();
         drop(response);
@@ -99,7 +99,7 @@
                 task::sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(crate::site::PATIENCE, idle)
+        timeout(crate::cluster::PATIENCE, idle)
             .await
             .expect("the engine stops when its caller has gone");
         assert!(site.engines[0].counts().tokens.values().sum::<u64>() < 5_000);
