--- a/crates/peridotdeck-router/benches/latency.rs
+++ b/crates/peridotdeck-router/benches/latency.rs
@@ -1,13 +1,13 @@
 //! Benchmark of the time to first token of an idle engine, directly and through a router.
 
-#[path = "../tests/testsuite/site.rs"]
+#[path = "../tests/testsuite/cluster.rs"]
 #[allow(
     dead_code,
     unreachable_pub,
     missing_docs,
     reason = "a test module shared with the benchmark"
 )]
-mod site;
+mod cluster;
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,11 @@
 use peridotdeck_fake::engine::Setting;
 
 async fn read_first_token(address: SocketAddr) {
-    let mut response = site::send(address, site::chat(address, "hello about 2 words", true)).await;
+    let mut response = cluster::send(
+        address,
+        cluster::chat_request(address, "hello about 2 words", true),
+    )
+    .await;
     let mut byte = [0];
     response
         .read_exact(&mut byte)
@@ -29,9 +33,9 @@
     let setting = Setting {
         step_us: 0,
         prefill_us: 0,
-        ..site::fast()
+        ..cluster::fast_engine()
     };
-    let running = block_on(site::Site::start(&[setting], 1));
+    let running = block_on(cluster::Cluster::start(&[setting], 1));
     let (engine, router) = (running.engines[0].address(), running.address());
     let mut group = criterion.benchmark_group("first_token");
     group.bench_function("direct", |bencher| {
--- a/crates/peridotdeck-router/benches/streams.rs
+++ b/crates/peridotdeck-router/benches/streams.rs
@@ -3,14 +3,14 @@
 //! One process opens the streams directly at the engine and then through a router; the difference
 //! is the router's memory. The latency series are those of 600 organisations in 5 classes.
 
-#[path = "../tests/testsuite/site.rs"]
+#[path = "../tests/testsuite/cluster.rs"]
 #[allow(
     dead_code,
     unreachable_pub,
     missing_docs,
     reason = "a test module shared with the benchmark"
 )]
-mod site;
+mod cluster;
 
 use std::{fs, net::SocketAddr, time::Duration};
 
@@ -37,7 +37,8 @@
 async fn open_streams(address: SocketAddr, salt: &'static str) -> Vec<Response> {
     let open_one = move |index: usize| async move {
         let prompt = format!("{salt} {index} about 1000000 words");
-        let mut response = site::send(address, site::chat(address, &prompt, true)).await;
+        let mut response =
+            cluster::send(address, cluster::chat_request(address, &prompt, true)).await;
         let mut byte = [0];
         response
             .read_exact(&mut byte)
@@ -87,9 +88,9 @@
         let setting = Setting {
             slots,
             step_us: 1_000_000,
-            ..site::fast()
+            ..cluster::fast_engine()
         };
-        let running = site::Site::start_sized(&[setting], 1, slots).await;
+        let running = cluster::Cluster::start_sized(&[setting], 1, slots).await;
         let idle = resident_kb();
         let direct = open_streams(running.engines[0].address(), "direct").await;
         let with_direct = resident_kb();
--- a/crates/peridotdeck-router/tests/testsuite/cluster.rs
+++ b/crates/peridotdeck-router/tests/testsuite/cluster.rs
@@ -1,4 +1,4 @@
-//! A small site: stand-ins, one or more routers, and a caller.
+//! A test cluster of routers, fake endpoints and a fake platform, with functions that send requests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,20 +15,27 @@
 use peridotdeck_wire::Member;
 use serde_json::{Value, json};
 
-pub const KEY: &str = "matrah-key";
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// API key of the organisation `matrah`, whose limits are too high to be reached.
+pub const API_KEY: &str = "matrah-key";
+/// Maximum wait for a response, and for a condition that a test polls.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub struct Site {
+/// Routers in one data centre, two services' endpoints and the fake platform.
+pub struct Cluster {
     pub platform: Platform,
     pub engines: Vec<Engine>,
     pub plains: Vec<Plain>,
+    /// Runs of each idempotency key, shared by all plain endpoints.
     pub record: Record,
     pub routers: Vec<Router>,
+    /// The routers, as the platform lists them to each other.
     pub members: Vec<Member>,
+    /// The configuration in effect after the start; tests change it and publish it again.
     pub config: Config,
 }
 
-pub fn fast() -> Setting {
+/// Returns the settings of an engine with short steps and a short prefill.
+pub fn fast_engine() -> Setting {
     Setting {
         model: "wickmind".to_owned(),
         step_us: 500,
@@ -39,16 +46,19 @@
     }
 }
 
-impl Site {
+impl Cluster {
+    /// Starts a cluster whose engines are configured with 8 slots each.
+    ///
+    /// Returns when all routers are ready and their schedulers may trust their slot counts.
     pub async fn start(engines: &[Setting], routers: usize) -> Self {
         Self::start_sized(engines, routers, 8).await
     }
 
-    /// Starts a site whose engines are configured with a number of slots.
+    /// Starts a cluster whose engines are configured with `slots` slots each.
     pub async fn start_sized(engines: &[Setting], routers: usize, slots: u32) -> Self {
         let platform = Platform::start().await.unwrap();
         let record = Record::default();
-        let mut site = Self {
+        let mut cluster = Self {
             platform,
             engines: Vec::new(),
             plains: Vec::new(),
@@ -59,38 +69,40 @@
                 .clone()
                 .place("a", "north")
                 .build()
-                .unwrap_or_else(|_| empty()),
+                .unwrap_or_else(|_| empty_config()),
         };
         for setting in engines {
-            site.engines
+            cluster
+                .engines
                 .push(Engine::start(setting.clone()).await.unwrap());
         }
         for _ in 0..2 {
-            site.plains.push(
+            cluster.plains.push(
                 Plain::start(record.clone(), Duration::from_millis(5))
                     .await
                     .unwrap(),
             );
         }
-        site.config = site.configure(slots);
-        site.platform.publish(&split(&site.config));
+        cluster.config = cluster.configure(slots);
+        cluster.platform.publish(&split(&cluster.config));
         for node in 1..=routers as u32 {
-            site.add_router(node).await;
+            cluster.add_router(node).await;
         }
-        site.platform.list(site.members.clone());
-        site.wait_ready().await;
-        site
+        cluster.platform.list(cluster.members.clone());
+        cluster.wait_ready().await;
+        cluster
     }
 
+    /// Returns the configuration with the addresses of the endpoints started so far.
     fn configure(&self, slots: u32) -> Config {
         let mut model = Service::model("wickmind", "counter");
         for engine in &self.engines {
             model = model.sized_endpoint("a", &engine.address().to_string(), slots, slots / 2);
         }
-        let mut desk =
+        let mut orders =
             Service::plain("refill-desk", "stock-check").unrepeatable("/reorders", "reorder");
         for plain in &self.plains {
-            desk = desk.sized_endpoint("a", &plain.address().to_string(), 32, 32);
+            orders = orders.sized_endpoint("a", &plain.address().to_string(), 32, 32);
         }
         Policy::new()
             .place("a", "north")
@@ -100,17 +112,18 @@
             .class(Class::bulk("draft", 4).whole_ms(600_000))
             .organisation(
                 Organisation::named("matrah")
-                    .key(KEY)
+                    .key(API_KEY)
                     .rate(10_000, 10_000)
                     .concurrency(10_000),
             )
             .organisation(Organisation::named("tiny").key("tiny-key").rate(1, 1))
             .service(model)
-            .service(desk)
+            .service(orders)
             .build()
             .unwrap()
     }
 
+    /// Starts a router and adds it to the members, without publishing them.
     pub async fn add_router(&mut self, node: u32) {
         let text = format!(
             "node = {node}\nplace = \"a\"\ncallers = \"127.0.0.1:0\"\npeers = \"127.0.0.1:0\"\n\
@@ -138,6 +151,7 @@
         self.routers.push(router);
     }
 
+    /// Waits until all routers are ready and see each other, then for the settle period.
     async fn wait_ready(&self) {
         let count = self.routers.len();
         for router in &self.routers {
@@ -156,12 +170,14 @@
         task::sleep(peridotdeck_core::pool::SETTLE_PERIOD).await;
     }
 
+    /// Returns the caller address of the first router.
     pub fn address(&self) -> SocketAddr {
         self.routers[0].address()
     }
 }
 
-fn empty() -> Config {
+/// Returns a configuration that stands in until the endpoints have addresses.
+fn empty_config() -> Config {
     Config {
         classes: vec![],
         places: vec![],
@@ -170,38 +186,45 @@
     }
 }
 
-pub fn post(address: SocketAddr, path: &str, body: &str) -> Request {
+/// Returns a POST request with a JSON body and the key `API_KEY`.
+pub fn post_request(address: SocketAddr, path: &str, body: &str) -> Request {
     let mut request = Request::new(Method::Post, client::url(address, path).unwrap());
-    request.insert_header("authorization", format!("Bearer {KEY}"));
+    request.insert_header("authorization", format!("Bearer {API_KEY}"));
     request.set_body(body);
     request.set_content_type(mime::JSON);
     request
 }
 
-pub fn chat(address: SocketAddr, prompt: &str, stream: bool) -> Request {
+/// Returns a chat completion request with one message of the user.
+pub fn chat_request(address: SocketAddr, prompt: &str, stream: bool) -> Request {
     let messages = json!([{"role": "user", "content": prompt}]);
     let body = json!({"model": "wickmind", "messages": messages, "stream": stream});
-    post(address, "/v1/chat/completions", &body.to_string())
+    post_request(address, "/v1/chat/completions", &body.to_string())
 }
 
+/// Sends a request and returns the response as soon as its head has arrived.
 pub async fn send(address: SocketAddr, request: Request) -> Response {
-    client::request(address, request, PATIENCE).await.unwrap()
+    client::request(address, request, RESPONSE_TIMEOUT)
+        .await
+        .unwrap()
 }
 
-pub async fn value(mut response: Response) -> Value {
+/// Reads the body as JSON.
+pub async fn read_json(mut response: Response) -> Value {
     response.body_json().await.unwrap()
 }
 
-pub async fn error(address: SocketAddr, request: Request) -> (u16, String, String) {
+/// Sends a request that fails, and returns the status, the error code and the verdict.
+pub async fn send_refused(address: SocketAddr, request: Request) -> (u16, String, String) {
     let response = send(address, request).await;
     let status = response.status().into();
-    let body = value(response).await;
+    let body = read_json(response).await;
     let text = |key: &str| body["error"][key].as_str().unwrap_or_default().to_owned();
     (status, text("code"), text("verdict"))
 }
 
-/// Text of a whole streamed answer, or none if its end marker is missing.
-pub async fn streamed(mut response: Response) -> Option<String> {
+/// Returns the text of a whole streamed response, or `None` if its end marker is missing.
+pub async fn read_stream(mut response: Response) -> Option<String> {
     let body = response.body_string().await.ok()?;
     let mut text = String::new();
     for line in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
@@ -218,8 +241,10 @@
     None
 }
 
-/// Sends bytes as they are and returns what comes back until the connection closes.
-pub async fn raw(address: SocketAddr, bytes: &[u8], finish: bool) -> String {
+/// Sends raw bytes and returns everything received until the connection closes.
+///
+/// With `finish`, the sending side is closed after the bytes.
+pub async fn send_raw(address: SocketAddr, bytes: &[u8], finish: bool) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let _ = stream.write_all(bytes).await;
     if finish {
--- a/crates/peridotdeck-router/tests/testsuite/fleet.rs
+++ b/crates/peridotdeck-router/tests/testsuite/fleet.rs
@@ -1,22 +1,24 @@
-//! Routers act together over real sockets.
+//! Several routers share configuration, outlive a platform outage and drain, over real sockets.
 
 use std::time::Duration;
 
 use async_std::{future::timeout, task, task::block_on};
 use peridotdeck_policy::{Class, split};
 
-use crate::cluster::{PATIENCE, Site, chat, fast, send, streamed};
+use crate::cluster::{Cluster, RESPONSE_TIMEOUT, chat_request, fast_engine, read_stream, send};
 
+/// A new configuration takes effect on all four routers.
 #[test]
-fn change_reaches_all() {
+fn configuration_reaches_all() {
     block_on(async {
-        let mut site = Site::start(&[fast()], 4).await;
-        site.config
+        let mut cluster = Cluster::start(&[fast_engine()], 4).await;
+        cluster
+            .config
             .classes
             .push(Class::interactive("new", 3).whole_ms(900));
-        let revision = site.platform.publish(&split(&site.config));
-        let everywhere = async {
-            for router in &site.routers {
+        let revision = cluster.platform.publish(&split(&cluster.config));
+        let adopted = async {
+            for router in &cluster.routers {
                 while router
                     .handle()
                     .inspect(|node, _| node.config().revision())
@@ -27,25 +29,28 @@
                 }
             }
         };
-        timeout(PATIENCE, everywhere)
+        timeout(RESPONSE_TIMEOUT, adopted)
             .await
-            .expect("the change comes into force everywhere");
+            .expect("the new configuration takes effect on all routers");
     });
 }
 
+/// A router rejects an invalid configuration and keeps the one in effect.
+///
+/// The published configuration has no classes although services still refer to them.
 #[test]
-fn broken_change_refused() {
+fn invalid_configuration_rejected() {
     block_on(async {
-        let mut site = Site::start(&[fast()], 2).await;
-        let before = site.routers[0]
+        let mut cluster = Cluster::start(&[fast_engine()], 2).await;
+        let before = cluster.routers[0]
             .handle()
             .inspect(|node, _| node.config().revision())
             .await
             .unwrap();
-        site.config.classes.clear();
-        let broken = site.platform.publish(&split(&site.config));
-        let refused = async {
-            while site.routers[0]
+        cluster.config.classes.clear();
+        let broken = cluster.platform.publish(&split(&cluster.config));
+        let rejected = async {
+            while cluster.routers[0]
                 .handle()
                 .inspect(|node, _| node.config().rejected_revision())
                 .await
@@ -54,32 +59,36 @@
                 task::sleep(Duration::from_millis(10)).await;
             }
         };
-        timeout(PATIENCE, refused)
+        timeout(RESPONSE_TIMEOUT, rejected)
             .await
-            .expect("the mistake is noticed");
-        let now = site.routers[0]
+            .expect("the invalid configuration is rejected");
+        let now = cluster.routers[0]
             .handle()
             .inspect(|node, _| node.config().revision())
             .await;
-        assert_eq!(now, Some(before), "the old configuration stays in force");
+        assert_eq!(now, Some(before), "the old configuration stays in effect");
         assert!(
-            send(site.address(), chat(site.address(), "about 2 words", false))
-                .await
-                .status()
-                .is_success()
+            send(
+                cluster.address(),
+                chat_request(cluster.address(), "about 2 words", false)
+            )
+            .await
+            .status()
+            .is_success()
         );
     });
 }
 
+/// All routers keep serving while the platform is down.
 #[test]
 fn platform_outage() {
     block_on(async {
-        let site = Site::start(&[fast()], 2).await;
-        site.platform.set_down(true);
-        for router in &site.routers {
+        let cluster = Cluster::start(&[fast_engine()], 2).await;
+        cluster.platform.set_down(true);
+        for router in &cluster.routers {
             let response = send(
                 router.address(),
-                chat(router.address(), "about 2 words", false),
+                chat_request(router.address(), "about 2 words", false),
             )
             .await;
             assert!(response.status().is_success());
@@ -87,26 +96,29 @@
     });
 }
 
+/// A draining router finishes its open stream and refuses new requests with status 503.
+///
+/// The other router goes on serving.
 #[test]
 fn graceful_stop() {
     block_on(async {
-        let site = Site::start(&[fast()], 2).await;
+        let cluster = Cluster::start(&[fast_engine()], 2).await;
         let prompt = "about 400 words";
-        let address = site.routers[0].address();
-        let response = send(address, chat(address, prompt, true)).await;
+        let address = cluster.routers[0].address();
+        let response = send(address, chat_request(address, prompt, true)).await;
         let (drained, answer) =
-            futures_lite::future::zip(site.routers[0].drain(), streamed(response)).await;
+            futures_lite::future::zip(cluster.routers[0].drain(), read_stream(response)).await;
         assert!(drained);
         assert_eq!(
             answer.unwrap(),
             peridotdeck_fake::text::answer(prompt, 0),
             "no request is cut off"
         );
-        let refused = send(address, chat(address, "about 2 words", false)).await;
+        let refused = send(address, chat_request(address, "about 2 words", false)).await;
         assert_eq!(u16::from(refused.status()), 503);
-        let other = site.routers[1].address();
+        let other = cluster.routers[1].address();
         assert!(
-            send(other, chat(other, "about 2 words", false))
+            send(other, chat_request(other, "about 2 words", false))
                 .await
                 .status()
                 .is_success()
--- a/crates/peridotdeck-router/tests/testsuite/http_limits.rs
+++ b/crates/peridotdeck-router/tests/testsuite/http_limits.rs
@@ -1,90 +1,101 @@
-//! Broken and hostile input gets a clear answer and harms nobody else.
+//! Malformed and hostile input gets a clear error and does not affect other callers.
 
 use std::fmt::Write as _;
 
 use async_std::task::block_on;
 
-use crate::cluster::{Site, chat, fast, raw, send};
+use crate::cluster::{Cluster, chat_request, fast_engine, send, send_raw};
 
-async fn still_serves(site: &Site) {
-    let response = send(site.address(), chat(site.address(), "about 2 words", false)).await;
+/// Checks that a regular request still succeeds.
+async fn assert_serves(cluster: &Cluster) {
+    let response = send(
+        cluster.address(),
+        chat_request(cluster.address(), "about 2 words", false),
+    )
+    .await;
     assert!(response.status().is_success());
 }
 
+/// Bytes that are not HTTP, here the start of a TLS record, get status 400.
 #[test]
 fn not_http() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
-        let answer = raw(site.address(), b"\x16\x03\x01 hello\r\n\r\n", false).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
+        let answer = send_raw(cluster.address(), b"\x16\x03\x01 hello\r\n\r\n", false).await;
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
-        still_serves(&site).await;
+        assert_serves(&cluster).await;
     });
 }
 
+/// A request with 2,000 header fields gets status 400 or a closed connection.
 #[test]
-fn header_flood() {
+fn too_many_headers() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
         let mut head = "GET /v1/models HTTP/1.1\r\nhost: x\r\n".to_owned();
         for number in 0..2_000 {
             write!(head, "x-{number}: y\r\n").unwrap();
         }
-        let answer = raw(site.address(), format!("{head}\r\n").as_bytes(), false).await;
+        let answer = send_raw(cluster.address(), format!("{head}\r\n").as_bytes(), false).await;
         assert!(
             answer.is_empty() || answer.starts_with("HTTP/1.1 400"),
             "{answer}"
         );
-        still_serves(&site).await;
+        assert_serves(&cluster).await;
     });
 }
 
+/// A client that stops in the middle of the request line gets status 408.
 #[test]
-fn slow_head() {
+fn incomplete_head_times_out() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
-        let answer = raw(site.address(), b"POST /v1/chat/completions HTT", false).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
+        let answer = send_raw(cluster.address(), b"POST /v1/chat/completions HTT", false).await;
         assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-        still_serves(&site).await;
+        assert_serves(&cluster).await;
     });
 }
 
+/// A client that stops in the middle of the body gets status 408 after the body timeout.
 #[test]
-fn slow_body() {
+fn incomplete_body_times_out() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
         let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer matrah-key\r\n\
                     content-length: 100\r\n\r\n{\"model\"";
-        let answer = raw(site.address(), head.as_bytes(), false).await;
+        let answer = send_raw(cluster.address(), head.as_bytes(), false).await;
         assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-        still_serves(&site).await;
+        assert_serves(&cluster).await;
     });
 }
 
+/// A client that closes its side before the declared content length gets status 400.
 #[test]
-fn half_body() {
+fn body_ends_early() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
         let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer matrah-key\r\n\
                     content-length: 100\r\n\r\n{\"model\"";
-        let answer = raw(site.address(), head.as_bytes(), true).await;
+        let answer = send_raw(cluster.address(), head.as_bytes(), true).await;
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
-        still_serves(&site).await;
+        assert_serves(&cluster).await;
     });
 }
 
+/// Invalid peer requests, among them one with wrong parameters, get a JSON-RPC error.
 #[test]
-fn peer_calls_checked() {
+fn invalid_peer_requests() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
         for body in [
             "{",
             "{}",
             r#"{"jsonrpc":"2.0","id":1,"method":"peer.deliver","params":[1]}"#,
         ] {
-            let request = crate::cluster::post(site.address(), "/rpc/peer", body);
-            let answer = crate::cluster::value(send(site.address(), request).await).await;
+            let request = crate::cluster::post_request(cluster.address(), "/rpc/peer", body);
+            let answer = crate::cluster::read_json(send(cluster.address(), request).await).await;
             assert!(answer["error"]["code"].as_i64().unwrap() < 0, "{answer}");
         }
-        still_serves(&site).await;
+        assert_serves(&cluster).await;
     });
 }
--- a/crates/peridotdeck-router/tests/testsuite/main.rs
+++ b/crates/peridotdeck-router/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of routers against stand-ins, over real sockets on loopback.
+//! Tests of routers against fake endpoints and a fake platform, over sockets on loopback.
 
 mod callers;
 mod cluster;
--- a/crates/peridotdeck-router/tests/testsuite/operators.rs
+++ b/crates/peridotdeck-router/tests/testsuite/operators.rs
@@ -1,20 +1,35 @@
-//! Operators see the state and the reasons.
+//! The operators' interface: status, routing explanations, metrics, probes and draining.
 
 use async_std::task::block_on;
 use http_types::{Method, Request};
 use peridotdeck_http::client;
 use serde_json::json;
 
-use crate::cluster::{PATIENCE, Site, chat, fast, post, send, value};
+use crate::cluster::{
+    Cluster, RESPONSE_TIMEOUT, chat_request, fast_engine, post_request, read_json, send,
+};
 
-async fn rpc(site: &Site, method: &str, params: serde_json::Value) -> serde_json::Value {
+/// Calls a JSON-RPC method of the operators' interface and returns the whole response.
+async fn call_operator(
+    cluster: &Cluster,
+    method: &str,
+    params: serde_json::Value,
+) -> serde_json::Value {
     let body = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params}).to_string();
-    value(send(site.address(), post(site.address(), "/rpc/operator", &body)).await).await
+    read_json(
+        send(
+            cluster.address(),
+            post_request(cluster.address(), "/rpc/operator", &body),
+        )
+        .await,
+    )
+    .await
 }
 
-async fn get(site: &Site, path: &str) -> (u16, String) {
-    let request = Request::new(Method::Get, client::url(site.address(), path).unwrap());
-    let mut response = client::request(site.address(), request, PATIENCE)
+/// Returns the status and the body of a GET request without an API key.
+async fn get(cluster: &Cluster, path: &str) -> (u16, String) {
+    let request = Request::new(Method::Get, client::url(cluster.address(), path).unwrap());
+    let mut response = client::request(cluster.address(), request, RESPONSE_TIMEOUT)
         .await
         .unwrap();
     (
@@ -23,22 +38,24 @@
     )
 }
 
+/// `operator.status` reports readiness and one pool for each of the two services.
 #[test]
-fn status_shows_engines() {
+fn status_lists_pools() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
-        let status = rpc(&site, "operator.status", json!([])).await["result"].take();
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
+        let status = call_operator(&cluster, "operator.status", json!([])).await["result"].take();
         assert_eq!(status["ready"], true);
         assert_eq!(status["pools"].as_array().unwrap().len(), 2);
     });
 }
 
+/// `operator.explain` returns class and pool, and names an organisation that it does not know.
 #[test]
 fn explain_names_pool() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
         let question = json!([{"organisation": "matrah", "service": "wickmind", "class": ""}]);
-        let answer = rpc(&site, "operator.explain", question).await["result"].take();
+        let answer = call_operator(&cluster, "operator.explain", question).await["result"].take();
         assert_eq!(
             (
                 answer["class"].as_str(),
@@ -47,17 +64,23 @@
             (Some("counter"), Some("a"))
         );
         let unknown = json!([{"organisation": "nobody", "service": "wickmind", "class": ""}]);
-        let error = rpc(&site, "operator.explain", unknown).await["error"]["message"].take();
+        let error =
+            call_operator(&cluster, "operator.explain", unknown).await["error"]["message"].take();
         assert_eq!(error, "unknown organisation \"nobody\"");
     });
 }
 
+/// `/metrics` counts by class and organisation, and never contains an API key.
 #[test]
 fn metrics_by_class() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
-        send(site.address(), chat(site.address(), "about 3 words", false)).await;
-        let (status, text) = get(&site, "/metrics").await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
+        send(
+            cluster.address(),
+            chat_request(cluster.address(), "about 3 words", false),
+        )
+        .await;
+        let (status, text) = get(&cluster, "/metrics").await;
         assert_eq!(status, 200);
         let line =
             "peridotdeck_first_token_seconds_count{class=\"counter\",organisation=\"matrah\"} 1";
@@ -66,13 +89,14 @@
     });
 }
 
+/// Draining turns `/readyz` to 503; `/healthz` stays at 200.
 #[test]
 fn probes_follow_drain() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
-        assert_eq!(get(&site, "/readyz").await.0, 200);
-        rpc(&site, "operator.drain", json!([])).await;
-        assert_eq!(get(&site, "/readyz").await.0, 503);
-        assert_eq!(get(&site, "/healthz").await.0, 200);
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
+        assert_eq!(get(&cluster, "/readyz").await.0, 200);
+        call_operator(&cluster, "operator.drain", json!([])).await;
+        assert_eq!(get(&cluster, "/readyz").await.0, 503);
+        assert_eq!(get(&cluster, "/healthz").await.0, 200);
     });
 }
--- a/crates/peridotdeck-router/tests/testsuite/streams.rs
+++ b/crates/peridotdeck-router/tests/testsuite/streams.rs
@@ -1,4 +1,4 @@
-//! Streams survive engines that crash, go silent or answer somebody else, and end with callers.
+//! Streams survive engines that crash, go silent or mix up responses, and end with their callers.
 
 use std::time::Duration;
 
@@ -10,144 +10,177 @@
 };
 use peridotdeck_http::client;
 
-use crate::cluster::{Site, chat, fast, send, streamed, value};
+use crate::cluster::{Cluster, chat_request, fast_engine, read_json, read_stream, send};
 
-fn slow() -> Setting {
+/// Returns the settings of an engine that is still generating when a fault is injected.
+fn slow_engine() -> Setting {
     Setting {
         step_us: 4_000,
-        ..fast()
+        ..fast_engine()
     }
 }
 
+/// A stream whose engine crashes is continued by the other engine.
+///
+/// The caller receives one text without gaps or repetitions.
 #[test]
 fn resumes_after_crash() {
     block_on(async {
-        let site = Site::start(&[slow(), slow()], 1).await;
+        let cluster = Cluster::start(&[slow_engine(), slow_engine()], 1).await;
         let prompt = "a long draft about 150 words";
-        let answer = task::spawn(send(site.address(), chat(site.address(), prompt, true)));
+        let answer = task::spawn(send(
+            cluster.address(),
+            chat_request(cluster.address(), prompt, true),
+        ));
         let response = answer.await;
         task::sleep(Duration::from_millis(150)).await;
-        let busy = site
+        let busy = cluster
             .engines
             .iter()
             .position(|engine| engine.load().running > 0)
             .unwrap();
-        site.engines[busy].inject(Fault::Crash);
+        cluster.engines[busy].inject(Fault::Crash);
         assert_eq!(
-            streamed(response).await.unwrap(),
+            read_stream(response).await.unwrap(),
             text::answer(prompt, 0),
-            "one whole answer, never a mixed one"
+            "one whole response, without parts of another"
         );
-        assert!(site.engines[1 - busy].counts().runs > 0);
+        assert!(cluster.engines[1 - busy].counts().runs > 0);
     });
 }
 
+/// A stream whose engine stops sending, with the connection open, is continued by a retry.
 #[test]
-fn silence_is_noticed() {
+fn resumes_after_silence() {
     block_on(async {
-        let site = Site::start(&[slow(), slow()], 1).await;
+        let cluster = Cluster::start(&[slow_engine(), slow_engine()], 1).await;
         let prompt = "another draft about 150 words";
-        let response = send(site.address(), chat(site.address(), prompt, true)).await;
+        let response = send(
+            cluster.address(),
+            chat_request(cluster.address(), prompt, true),
+        )
+        .await;
         task::sleep(Duration::from_millis(100)).await;
-        let busy = site
+        let busy = cluster
             .engines
             .iter()
             .position(|engine| engine.load().running > 0)
             .unwrap();
-        site.engines[busy].inject(Fault::Silence);
-        assert_eq!(streamed(response).await.unwrap(), text::answer(prompt, 0));
+        cluster.engines[busy].inject(Fault::Silence);
+        assert_eq!(
+            read_stream(response).await.unwrap(),
+            text::answer(prompt, 0)
+        );
     });
 }
 
+/// A response that belongs to another request is discarded and the request runs again.
 #[test]
-fn crossed_is_dropped() {
+fn crossed_response_discarded() {
     block_on(async {
-        let site = Site::start(&[fast()], 1).await;
-        site.engines[0].inject(Fault::Cross);
-        let answer =
-            value(send(site.address(), chat(site.address(), "about 9 words", false)).await).await;
+        let cluster = Cluster::start(&[fast_engine()], 1).await;
+        cluster.engines[0].inject(Fault::Cross);
+        let answer = read_json(
+            send(
+                cluster.address(),
+                chat_request(cluster.address(), "about 9 words", false),
+            )
+            .await,
+        )
+        .await;
         assert_eq!(
             answer["choices"][0]["message"]["content"].as_str().unwrap(),
             text::answer("about 9 words", 0)
         );
         assert_eq!(
-            site.engines[0].counts().runs,
+            cluster.engines[0].counts().runs,
             2,
-            "the crossed answer was not used"
+            "the crossed response was not used"
         );
     });
 }
 
+/// The engine stops generating when the caller disconnects in the middle of a stream.
 #[test]
-fn caller_leaves() {
+fn caller_disconnects() {
     block_on(async {
-        let site = Site::start(&[slow()], 1).await;
-        let request = chat(site.address(), "nobody reads about 5000 words", true);
-        let response = client::request(site.address(), request, crate::cluster::PATIENCE)
-            .await
-            .unwrap();
+        let cluster = Cluster::start(&[slow_engine()], 1).await;
+        let request = chat_request(cluster.address(), "nobody reads about 5000 words", true);
+        let response =
+            client::request(cluster.address(), request, crate::cluster::RESPONSE_TIMEOUT)
+                .await
+                .unwrap();
         drop(response);
         let idle = async {
             loop {
-                let open = site.routers[0]
+                let open = cluster.routers[0]
                     .handle()
                     .inspect(|node, _| node.request_table().flights().len())
                     .await;
-                if open == Some(0) && site.engines[0].load().running == 0 {
+                if open == Some(0) && cluster.engines[0].load().running == 0 {
                     return;
                 }
                 task::sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(crate::cluster::PATIENCE, idle)
+        timeout(crate::cluster::RESPONSE_TIMEOUT, idle)
             .await
-            .expect("the engine stops when its caller has gone");
-        assert!(site.engines[0].counts().tokens.values().sum::<u64>() < 5_000);
+            .expect("the engine stops after its caller disconnects");
+        assert!(cluster.engines[0].counts().tokens.values().sum::<u64>() < 5_000);
     });
 }
 
+/// The router forwards chunks at once instead of buffering the whole response.
 #[test]
-fn chunks_flow() {
+fn chunks_not_buffered() {
     block_on(async {
-        let site = Site::start(
+        let cluster = Cluster::start(
             &[Setting {
                 step_us: 50_000,
-                ..fast()
+                ..fast_engine()
             }],
             1,
         )
         .await;
         let mut response = send(
-            site.address(),
-            chat(site.address(), "about 100 words", true),
+            cluster.address(),
+            chat_request(cluster.address(), "about 100 words", true),
         )
         .await;
         let mut first = [0; 16];
-        // The whole answer takes over five seconds; the first chunk must not wait for it.
+        // The whole response takes over five seconds; the first chunk must not wait for it.
         response.read_exact(&mut first).await.unwrap();
         assert!(first.starts_with(b"data: "));
         assert!(
-            site.engines[0].load().running > 0,
-            "the engine still generates"
+            cluster.engines[0].load().running > 0,
+            "the engine is still generating"
         );
     });
 }
 
+/// A prefill longer than the permitted silence of a stream does not count as a stalled engine.
 #[test]
 fn long_prompt() {
     block_on(async {
-        // The prompt takes 1.5 s to read, more than the silence that a stream may have.
+        // The prefill takes 1.5 s, more than the 600 ms of silence that a stream may have.
         let setting = Setting {
             prefill_us: 500,
-            ..fast()
+            ..fast_engine()
         };
-        let site = Site::start(&[setting], 1).await;
+        let cluster = Cluster::start(&[setting], 1).await;
         let prompt = format!("{} about 5 words", "wick ".repeat(2_400));
-        let answer = value(send(site.address(), chat(site.address(), &prompt, false)).await).await;
+        let answer = read_json(
+            send(
+                cluster.address(),
+                chat_request(cluster.address(), &prompt, false),
+            )
+            .await,
+        )
+        .await;
         assert_eq!(
             answer["choices"][0]["message"]["content"].as_str().unwrap(),
             text::answer(&prompt, 0)
         );
-        assert_eq!(site.engines[0].counts().runs, 1);
+        assert_eq!(cluster.engines[0].counts().runs, 1);
     });
 }
