--- a/crates/peridotdeck-cli/src/main.rs
+++ b/crates/peridotdeck-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! Command line of the operators' command.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
@@ -7,71 +7,71 @@
 use peridotdeck_cli::ops;
 use peridotdeck_router::operators::Query;
 
-/// Checks configurations and asks routers.
+/// Checks configurations and queries routers.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 enum Command {
     /// Checks a configuration file.
     #[bpaf(command)]
     Check {
-        /// Configuration (JSON parts).
+        /// Configuration file: a JSON object of named parts.
         #[bpaf(positional("CONFIG"))]
         config: PathBuf,
     },
     /// Checks a configuration file and prints it in canonical form.
     #[bpaf(command)]
     Print {
-        /// Configuration (JSON parts).
+        /// Configuration file: a JSON object of named parts.
         #[bpaf(positional("CONFIG"))]
         config: PathBuf,
     },
-    /// Shows the state of a node, its view of the fleet and its engines.
+    /// Shows a node's state, the live nodes that it sees and the pools that it schedules.
     #[bpaf(command)]
     Status {
-        /// Callers' address of the node.
-        #[bpaf(argument("ADDRESS"), fallback(local()))]
+        /// Caller address of the node.
+        #[bpaf(argument("ADDRESS"), fallback(default_address()))]
         node: SocketAddr,
     },
-    /// Shows how a request would be classed, limited and placed, and why.
+    /// Shows the class, limits and pools that a request would get, with the expected delays.
     #[bpaf(command)]
     Explain {
-        /// Callers' address of the node.
-        #[bpaf(argument("ADDRESS"), fallback(local()))]
+        /// Caller address of the node.
+        #[bpaf(argument("ADDRESS"), fallback(default_address()))]
         node: SocketAddr,
-        /// Customer.
+        /// Name of the organisation.
         #[bpaf(argument("NAME"))]
         organisation: String,
-        /// Class in place of the service's own.
+        /// Name of the class, if not the service's default class.
         #[bpaf(argument("NAME"), fallback(String::new()))]
         class: String,
-        /// Service.
+        /// Name of the service.
         #[bpaf(positional("SERVICE"))]
         service: String,
     },
-    /// Shows the state of a node on the users' platform; with a route, what its endpoints would do.
+    /// Shows the state of a relay node on the users' platform, or its decision for a route.
     #[bpaf(command)]
     Inspect {
-        /// Route whose requests are to be explained.
+        /// Name of the route to explain.
         #[bpaf(argument("NAME"), optional)]
         route: Option<String>,
-        /// Prompt tokens of such a request.
+        /// Prompt length in tokens of the request to explain.
         #[bpaf(argument("NUMBER"), fallback(0))]
         tokens: u32,
         /// Control address of the node.
         #[bpaf(positional("ADDRESS"))]
         node: SocketAddr,
     },
-    /// Asks a node to leave gracefully.
+    /// Starts a node's graceful shutdown.
     #[bpaf(command)]
     Drain {
-        /// Callers' address of the node.
-        #[bpaf(argument("ADDRESS"), fallback(local()))]
+        /// Caller address of the node.
+        #[bpaf(argument("ADDRESS"), fallback(default_address()))]
         node: SocketAddr,
     },
 }
 
-/// Where a router listens by the example settings.
-fn local() -> SocketAddr {
+/// Returns the caller address in the example settings.
+fn default_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 8080))
 }
 
@@ -79,7 +79,7 @@
     match command {
         Command::Check { config } => ops::check(&config),
         Command::Print { config } => ops::print(&config),
-        Command::Status { node } => Ok(ops::show_status(&ops::status(node).await?)),
+        Command::Status { node } => Ok(ops::format_status(&ops::status(node).await?)),
         Command::Explain {
             node,
             organisation,
@@ -91,7 +91,7 @@
                 service,
                 class,
             };
-            Ok(ops::show_explanation(&ops::explain(node, query).await?))
+            Ok(ops::format_explanation(&ops::explain(node, query).await?))
         }
         Command::Inspect {
             route,
@@ -107,8 +107,8 @@
 
 fn main() -> ExitCode {
     match task::block_on(run(command().run())) {
-        Ok(text) => {
-            println!("{text}");
+        Ok(output) => {
+            println!("{output}");
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/crates/peridotdeck-cli/src/ops.rs
+++ b/crates/peridotdeck-cli/src/ops.rs
@@ -1,4 +1,4 @@
-//! What the command does, callable without a command line.
+//! The subcommands as functions, without the command line.
 
 use std::{
     fs, io,
@@ -13,7 +13,7 @@
 use crate::remote;
 
 quick_error! {
-    /// Why the command failed.
+    /// Why a subcommand failed.
     #[derive(Debug)]
     pub enum Error {
         /// The file cannot be read.
@@ -21,11 +21,11 @@
             display("{}: {cause}", file.display())
             source(cause)
         }
-        /// The configuration has mistakes.
+        /// The configuration is invalid; lists every mistake found.
         Config(file: PathBuf, mistakes: Vec<String>) {
             display("{}: {} mistake(s)\n  {}", file.display(), mistakes.len(), mistakes.join("\n  "))
         }
-        /// A node did not answer.
+        /// A request to a node failed.
         Remote(cause: remote::Error) {
             display("{cause}")
             from()
@@ -34,29 +34,29 @@
     }
 }
 
-/// Reads a configuration: the parts that the operators' library prints.
+/// Reads and checks a configuration file, a JSON object of parts as `Policy::print` writes it.
 ///
 /// # Errors
-/// Lists every mistake with the name that it concerns.
+/// [`Error::Read`] if the file cannot be read, [`Error::Config`] if the configuration is invalid.
 pub fn read(path: &Path) -> Result<Config, Error> {
     let text = fs::read_to_string(path).map_err(|cause| Error::Read(path.to_owned(), cause))?;
-    let wrong = |mistakes| Error::Config(path.to_owned(), mistakes);
+    let invalid = |mistakes| Error::Config(path.to_owned(), mistakes);
     let parts: Parts =
-        serde_json::from_str(&text).map_err(|cause| wrong(vec![cause.to_string()]))?;
-    let texts: Vec<(String, String)> = parts
+        serde_json::from_str(&text).map_err(|cause| invalid(vec![cause.to_string()]))?;
+    let encoded: Vec<(String, String)> = parts
         .iter()
         .map(|(key, value)| (key.clone(), value.to_string()))
         .collect();
-    let pairs = texts
+    let pairs = encoded
         .iter()
         .map(|(key, value)| (key.as_str(), value.as_str()));
-    let config = join(pairs).map_err(|error| wrong(vec![error.to_string()]))?;
+    let config = join(pairs).map_err(|error| invalid(vec![error.to_string()]))?;
     let checked = Snapshot::new(config.clone());
-    checked.map_err(|errors| wrong(errors.iter().map(ToString::to_string).collect()))?;
+    checked.map_err(|errors| invalid(errors.iter().map(ToString::to_string).collect()))?;
     Ok(config)
 }
 
-/// Checks a configuration and returns one line about it.
+/// Checks a configuration and returns one line with the number of items of each kind.
 ///
 /// # Errors
 /// See [`read`].
@@ -77,7 +77,7 @@
     ))
 }
 
-/// Checks a configuration and prints its parts in their canonical form.
+/// Checks a configuration and returns its parts as JSON in canonical form.
 ///
 /// # Errors
 /// See [`read`].
@@ -85,40 +85,40 @@
     Ok(format!("{:#}", serde_json::json!(split(&read(path)?))))
 }
 
-/// Returns a node's state.
+/// Fetches a node's state.
 ///
 /// # Errors
-/// If the node does not answer.
+/// Fails if the node does not answer.
 pub async fn status(node: SocketAddr) -> Result<Status, Error> {
     Ok(remote::call(node, "operator.status", ()).await?)
 }
 
-/// Returns how a request would be classed, limited and placed by a node.
+/// Fetches the class, limits and pools that a node would give a request.
 ///
 /// # Errors
-/// If the node does not answer, or a name is unknown.
+/// Fails if the node does not answer, or a name is unknown.
 pub async fn explain(node: SocketAddr, query: Query) -> Result<Explanation, Error> {
     Ok(remote::call(node, "operator.explain", (query,)).await?)
 }
 
-/// Asks a node to leave: it takes no new work and lets every request end.
+/// Starts a node's graceful shutdown: it accepts no new work and finishes its requests.
 ///
 /// # Errors
-/// If the node does not answer.
+/// Fails if the node does not answer.
 pub async fn drain(node: SocketAddr) -> Result<(), Error> {
     let _: bool = remote::call(node, "operator.drain", ()).await?;
     Ok(())
 }
 
-/// Prints a node's state for people.
+/// Formats a node's state as text for operators.
 #[must_use]
-pub fn show_status(status: &Status) -> String {
+pub fn format_status(status: &Status) -> String {
     let mut lines = vec![
         format!(
             "node {} in {}: {}",
             status.node,
             status.place,
-            state(status)
+            state_name(status)
         ),
         format!(
             "configuration {} (last refused {}), VM list {}",
@@ -147,7 +147,7 @@
     lines.join("\n")
 }
 
-fn state(status: &Status) -> &'static str {
+fn state_name(status: &Status) -> &'static str {
     match (status.leaving, status.ready) {
         (true, _) => "leaving",
         (false, true) => "ready",
@@ -155,24 +155,24 @@
     }
 }
 
-/// Prints an explanation for people.
+/// Formats an explanation as text for operators.
 #[must_use]
-pub fn show_explanation(explanation: &Explanation) -> String {
+pub fn format_explanation(explanation: &Explanation) -> String {
     let mut lines = vec![
         format!("class {} of tier {}", explanation.class, explanation.tier),
         format!(
-            "customer has {} of {} requests in progress here",
+            "organisation has {} of {} requests in progress at this node",
             explanation.open, explanation.concurrency
         ),
     ];
     for (rank, pool) in explanation.pools.iter().enumerate() {
-        let promise = if pool.late {
+        let forecast = if pool.late {
             "would miss the target"
         } else {
             "keeps the target"
         };
         lines.push(format!(
-            "{}. {} through node {}: wait {} ms, path {} ms, {promise}",
+            "{}. {} through node {}: wait {} ms, path {} ms, {forecast}",
             rank + 1,
             pool.place,
             pool.owner,
@@ -181,19 +181,19 @@
         ));
     }
     if explanation.pools.is_empty() {
-        lines.push("no pool can take it".to_owned());
+        lines.push("no pool can take the request".to_owned());
     }
     lines.join("\n")
 }
 
-/// Returns the state of a node on the users' platform, or what its endpoints would do for a request.
+/// Fetches the state of a relay node, or its explanation of a request if a route is given.
 ///
 /// # Errors
-/// If the node does not answer, or does not know the route.
+/// Fails if the node does not answer, or does not know the route.
 pub async fn inspect(node: SocketAddr, route: Option<&str>, tokens: u32) -> Result<String, Error> {
     let path = match route {
         Some(route) => format!("/explain?route={route}&tokens={tokens}"),
         None => "/status".to_owned(),
     };
-    Ok(remote::page(node, &path).await?.trim_end().to_owned())
+    Ok(remote::fetch_page(node, &path).await?.trim_end().to_owned())
 }
--- a/crates/peridotdeck-cli/src/remote.rs
+++ b/crates/peridotdeck-cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! One JSON-RPC call to a node.
+//! Sends single requests to a node: JSON-RPC calls and page fetches.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,69 +9,69 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Value, json};
 
-/// Longest time for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Bounds the wait for a node's response head.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 quick_error! {
-    /// Why a node did not answer.
+    /// Why a request to a node failed.
     #[derive(Debug)]
     pub enum Error {
-        /// The connection failed.
+        /// The connection failed or no response arrived in time.
         Call(address: SocketAddr, cause: client::Error) {
             display("{address}: {cause}; is the router running there?")
             source(cause)
         }
-        /// The answer is not of the expected form.
-        Answer(address: SocketAddr, what: String) {
-            display("{address}: {what}")
+        /// The node refused the request or reported an error, or its response is malformed.
+        Response(address: SocketAddr, problem: String) {
+            display("{address}: {problem}")
         }
     }
 }
 
-/// Calls a method of a node's operator interface.
+/// Calls a JSON-RPC method of a node's operator interface and returns its result.
 ///
 /// # Errors
-/// If the node cannot be reached, refuses, or answers with an error.
+/// Fails if the node cannot be reached, refuses the request or returns an error.
 pub async fn call<T: DeserializeOwned>(
     address: SocketAddr,
     method: &str,
     params: impl Serialize,
 ) -> Result<T, Error> {
-    let wrong = |what: String| Error::Answer(address, what);
-    let url = client::url(address, PATH).map_err(|cause| wrong(cause.to_string()))?;
+    let failed = |problem: String| Error::Response(address, what);
+    let url = client::url(address, PATH).map_err(|cause| failed(cause.to_string()))?;
     let mut request = Request::new(Method::Post, url);
-    let text = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params}).to_string();
-    request.set_body(text);
+    let call = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params}).to_string();
+    request.set_body(call);
     request.set_content_type(mime::JSON);
-    let sent = client::request(address, request, PATIENCE).await;
+    let sent = client::request(address, request, RESPONSE_TIMEOUT).await;
     let mut response = sent.map_err(|cause| Error::Call(address, cause))?;
     if !response.status().is_success() {
-        return Err(wrong(format!("refused with status {}", response.status())));
+        return Err(failed(format!("the node refused the request with status {}", response.status())));
     }
     let mut body: Value = response
         .body_json()
         .await
-        .map_err(|cause| wrong(cause.to_string()))?;
+        .map_err(|cause| failed(cause.to_string()))?;
     if let Some(message) = body["error"]["message"].as_str() {
-        return Err(wrong(message.to_owned()));
+        return Err(failed(message.to_owned()));
     }
-    serde_json::from_value(body["result"].take()).map_err(|cause| wrong(cause.to_string()))
+    serde_json::from_value(body["result"].take()).map_err(|cause| failed(cause.to_string()))
 }
 
-/// Reads a page of a node that places its own callers' requests.
+/// Fetches a page of a relay node's control interface.
 ///
 /// # Errors
-/// If the node cannot be reached or refuses.
-pub async fn page(address: SocketAddr, path: &str) -> Result<String, Error> {
-    let wrong = |what: String| Error::Answer(address, what);
-    let url = client::url(address, path).map_err(|cause| wrong(cause.to_string()))?;
-    let sent = client::request(address, Request::new(Method::Get, url), PATIENCE).await;
+/// Fails if the node cannot be reached or refuses the request.
+pub async fn fetch_page(address: SocketAddr, path: &str) -> Result<String, Error> {
+    let failed = |problem: String| Error::Response(address, what);
+    let url = client::url(address, path).map_err(|cause| failed(cause.to_string()))?;
+    let sent = client::request(address, Request::new(Method::Get, url), RESPONSE_TIMEOUT).await;
     let mut response = sent.map_err(|cause| Error::Call(address, cause))?;
     let body = response.body_string().await;
-    let body = body.map_err(|cause| wrong(cause.to_string()))?;
+    let body = body.map_err(|cause| failed(cause.to_string()))?;
     if response.status().is_success() {
         Ok(body)
     } else {
-        Err(wrong(body.trim().to_owned()))
+        Err(failed(body.trim().to_owned()))
     }
 }
--- a/crates/peridotdeck-cli/tests/testsuite/main.rs
+++ b/crates/peridotdeck-cli/tests/testsuite/main.rs
@@ -1,17 +1,17 @@
-//! Tests of the operators' command on files.
+//! Tests the subcommands that read a configuration file.
 
 use std::{fs, path::PathBuf};
 
 use peridotdeck_cli::ops;
 use peridotdeck_policy::{Class, Organisation, Policy, Service};
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, text).unwrap();
     path
 }
 
-fn good() -> String {
+fn valid_config() -> String {
     Policy::new()
         .place("a", "north")
         .class(Class::interactive("counter", 0).first_token_ms(440))
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn good_is_counted() {
-    let line = ops::check(&file("good.json", &good())).unwrap();
+fn check_counts_items() {
+    let line = ops::check(&write_file("good.json", &valid_config())).unwrap();
     assert!(
         line.ends_with("ok, 1 classes, 1 places, 1 organisations, 1 services, 1 endpoints"),
         "{line}"
@@ -32,15 +32,15 @@
 
 #[test]
 fn print_is_stable() {
-    let once = ops::print(&file("first.json", &good())).unwrap();
-    assert_eq!(ops::print(&file("second.json", &once)).unwrap(), once);
+    let once = ops::print(&write_file("first.json", &valid_config())).unwrap();
+    assert_eq!(ops::print(&write_file("second.json", &once)).unwrap(), once);
 }
 
 #[test]
 fn mistakes_are_listed() {
-    let path = file(
+    let path = write_file(
         "bad.json",
-        &good().replace("\"place\": \"a\"", "\"place\": \"z\""),
+        &valid_config().replace("\"place\": \"a\"", "\"place\": \"z\""),
     );
     let error = ops::check(&path).unwrap_err().to_string();
     assert!(
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn broken_file() {
-    let error = ops::check(&file("broken.json", "{"))
+fn invalid_json() {
+    let error = ops::check(&write_file("broken.json", "{"))
         .unwrap_err()
         .to_string();
     assert!(error.contains("broken.json"), "{error}");
--- a/crates/peridotdeck-schema/src/main.rs
+++ b/crates/peridotdeck-schema/src/main.rs
@@ -1,4 +1,4 @@
-//! Rewrites the generated types from the schemas.
+//! Regenerates the types from the schemas and prints how many files changed.
 
 use std::error::Error;
 
--- a/crates/peridotdeck-schema/tests/testsuite/main.rs
+++ b/crates/peridotdeck-schema/tests/testsuite/main.rs
@@ -1,17 +1,17 @@
-//! Tests of the generator.
+//! Tests that the committed generated files match the schemas.
 
 use std::fs;
 
 use peridotdeck_schema::{TARGETS, render, root};
 
 #[test]
-fn output_is_current() {
+fn committed_files_are_current() {
     for (schema, target) in TARGETS {
         let text = fs::read_to_string(root().join(schema)).unwrap();
         let committed = fs::read_to_string(root().join(target)).unwrap();
         assert!(
             render(&text).unwrap() == committed,
-            "{target} is old: run `cargo schema`"
+            "{target} is out of date: run `cargo schema`"
         );
     }
 }
--- a/crates/peridotdeck-settings/src/check.rs
+++ b/crates/peridotdeck-settings/src/check.rs
@@ -7,7 +7,7 @@
 use crate::Settings;
 
 quick_error! {
-    /// Why settings were refused.
+    /// Why a settings file was rejected.
     #[derive(Debug)]
     pub enum Error {
         /// The file cannot be read.
@@ -15,12 +15,12 @@
             display("{file}: {cause}; name a readable file")
             source(cause)
         }
-        /// The text is not valid TOML, or a key is unknown, missing or of the wrong type.
+        /// The file is not valid TOML, or a key is unknown, missing or of the wrong type.
         Syntax(file: String, cause: toml::de::Error) {
             display("{file}: {}", cause.to_string().trim_end())
             source(cause)
         }
-        /// A number lies outside its range.
+        /// A number is outside its range.
         Range(file: String, key: &'static str, value: u32, range: RangeInclusive<u32>) {
             display("{file}: {key} = {value}: choose a value from {} to {}", range.start(), range.end())
         }
@@ -28,7 +28,7 @@
         Address(file: String, key: &'static str, value: String) {
             display("{file}: {key} = \"{value}\": write an IP address and a port, such as \"127.0.0.1:8080\"")
         }
-        /// A value is empty or unknown.
+        /// A value is empty or not one of the allowed values.
         Value(file: String, key: &'static str, remedy: &'static str) {
             display("{file}: {key}: {remedy}")
         }
@@ -38,23 +38,23 @@
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// Says which file and key is wrong, and what to write instead.
+/// The error names the file, the faulty key and the remedy.
 pub fn load(path: &Path) -> Result<Settings, Error> {
     let file = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|cause| Error::Read(file.clone(), cause))?;
     parse(&text, &file)
 }
 
-/// Checks settings text; `file` names it in errors.
+/// Parses and checks the text of a settings file; errors name it as `file`.
 ///
 /// # Errors
-/// Says which file and key is wrong, and what to write instead.
+/// The error names the file, the faulty key and the remedy.
 pub fn parse(text: &str, file: &str) -> Result<Settings, Error> {
     let settings: Settings =
         toml::from_str(text).map_err(|cause| Error::Syntax(file.to_owned(), cause))?;
     check_ranges(&settings, file)?;
     check_addresses(&settings, file)?;
-    check_words(&settings, file)?;
+    check_strings(&settings, file)?;
     Ok(settings)
 }
 
@@ -75,9 +75,9 @@
 }
 
 fn check_addresses(settings: &Settings, file: &str) -> Result<(), Error> {
-    let single = [("callers", &settings.callers), ("peers", &settings.peers)];
+    let listening = [("callers", &settings.callers), ("peers", &settings.peers)];
     let platform = settings.platform.iter().map(|value| ("platform", value));
-    for (key, value) in single.into_iter().chain(platform) {
+    for (key, value) in listening.into_iter().chain(platform) {
         if value.parse::<SocketAddr>().is_err() {
             return Err(Error::Address(file.to_owned(), key, value.clone()));
         }
@@ -85,19 +85,19 @@
     Ok(())
 }
 
-fn check_words(settings: &Settings, file: &str) -> Result<(), Error> {
-    let refuse = |key, remedy| Err(Error::Value(file.to_owned(), key, remedy));
+fn check_strings(settings: &Settings, file: &str) -> Result<(), Error> {
+    let invalid = |key, remedy| Err(Error::Value(file.to_owned(), key, remedy));
     if settings.platform.is_empty() {
-        return refuse(
+        return invalid(
             "platform",
-            "name at least one configuration service address",
+            "give at least one address of the configuration service",
         );
     }
     if settings.place.is_empty() {
-        return refuse("place", "name the data centre that this VM stands in");
+        return invalid("place", "give the name of the data centre of this VM");
     }
     if !["error", "warn", "info", "debug", "trace"].contains(&settings.log.as_str()) {
-        return refuse("log", "choose error, warn, info, debug or trace");
+        return invalid("log", "choose error, warn, info, debug or trace");
     }
     Ok(())
 }
--- a/crates/peridotdeck-settings/src/lib.rs
+++ b/crates/peridotdeck-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of an entry router: a TOML file, checked before anything starts.
+//! Reads the settings of an entry router from a TOML file and checks them before it starts.
 //!
-//! Unknown keys, missing keys and values out of range are refused with the file, the key and a
-//! remedy. The types are generated from `schema/settings.json`; `docs/OPERATORS.md` lists every key.
+//! An unknown key, a missing key or a value out of range is an error that names the file, the key
+//! and the remedy. The types are generated from `schema/settings.json`; `docs/OPERATORS.md` lists every key.
 
 mod check;
 #[rustfmt::skip]
--- a/crates/peridotdeck-settings/tests/testsuite/main.rs
+++ b/crates/peridotdeck-settings/tests/testsuite/main.rs
@@ -1,8 +1,8 @@
-//! Tests of settings files.
+//! Tests how settings files are parsed and which mistakes are reported.
 
 use peridotdeck_settings::{load, parse};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 node = 3
 place = "sohar-a"
 callers = "127.0.0.1:8080"
@@ -10,13 +10,13 @@
 platform = ["127.0.0.1:8500"]
 "#;
 
-fn error(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     parse(text, "router.toml").unwrap_err().to_string()
 }
 
 #[test]
 fn defaults_apply() {
-    let settings = parse(GOOD, "router.toml").unwrap();
+    let settings = parse(VALID, "router.toml").unwrap();
     assert_eq!(
         (settings.node, settings.body_limit_kb, settings.drain_s),
         (3, 4_096, 600)
@@ -25,7 +25,7 @@
 
 #[test]
 fn unknown_key() {
-    let error = error(&format!("{GOOD}\nport = 1\n"));
+    let error = parse_error(&format!("{VALID}\nport = 1\n"));
     assert!(
         error.contains("router.toml") && error.contains("port"),
         "{error}"
@@ -34,19 +34,19 @@
 
 #[test]
 fn missing_key() {
-    let error = error("node = 3\n");
+    let error = parse_error("node = 3\n");
     assert!(error.contains("missing field"), "{error}");
 }
 
 #[test]
 fn wrong_type() {
-    let error = error(&GOOD.replace("node = 3", "node = \"three\""));
+    let error = parse_error(&VALID.replace("node = 3", "node = \"three\""));
     assert!(error.contains("node"), "{error}");
 }
 
 #[test]
 fn out_of_range() {
-    let error = error(&format!("{GOOD}\ndrain_s = 0\n"));
+    let error = parse_error(&format!("{VALID}\ndrain_s = 0\n"));
     assert_eq!(
         error,
         "router.toml: drain_s = 0: choose a value from 1 to 86400"
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn host_name() {
-    let error = error(&GOOD.replace("127.0.0.1:8500", "platform.example:8500"));
+fn host_name_as_address() {
+    let error = parse_error(&VALID.replace("127.0.0.1:8500", "platform.example:8500"));
     assert!(
         error.contains("platform") && error.contains("IP address"),
         "{error}"
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn unknown_level() {
-    let error = error(&format!("{GOOD}\nlog = \"loud\"\n"));
+fn unknown_log_level() {
+    let error = parse_error(&format!("{VALID}\nlog = \"loud\"\n"));
     assert!(error.contains("log: choose error"), "{error}");
 }
 
