--- a/crates/peridotdeck-cli/src/remote.rs
+++ b/crates/peridotdeck-cli/src/remote.rs
@@ -46,7 +46,10 @@
     let sent = client::request(address, request, RESPONSE_TIMEOUT).await;
     let mut response = sent.map_err(|cause| Error::Call(address, cause))?;
     if !response.status().is_success() {
-        return Err(failed(format!("the node refused the request with status {}", response.status())));
+        return Err(failed(format!(
+            "the node refused the request with status {}",
+            response.status()
+        )));
     }
     let mut body: Value = response
         .body_json()
--- a/crates/peridotdeck-settings/src/generated.rs
+++ b/crates/peridotdeck-settings/src/generated.rs
@@ -68,18 +68,18 @@
 ///      "minimum": 0.0
 ///    },
 ///    "body_timeout_ms": {
-///      "description": "Longest time in milliseconds for a caller to send its head or its body, 100 to 120000.",
+///      "description": "Timeout in milliseconds for receiving a request's head, and for its body, 100 to 120000.",
 ///      "default": 10000,
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "callers": {
-///      "description": "IP address and port that callers, operators and peers' RPC reach by TCP.",
+///      "description": "TCP address and port for callers, operators and peers' RPC.",
 ///      "type": "string"
 ///    },
 ///    "drain_s": {
-///      "description": "Longest graceful shutdown in seconds, 1 to 86400.",
+///      "description": "Maximum duration of a graceful shutdown in seconds, 1 to 86400.",
 ///      "default": 600,
 ///      "type": "integer",
 ///      "format": "uint32",
@@ -97,29 +97,29 @@
 ///      "minimum": 0.0
 ///    },
 ///    "open_connections": {
-///      "description": "Open caller connections, 16 to 65536.",
+///      "description": "Maximum number of open caller connections, 16 to 65536.",
 ///      "default": 8192,
 ///      "type": "integer",
 ///      "format": "uint32",
 ///      "minimum": 0.0
 ///    },
 ///    "peers": {
-///      "description": "IP address and port for peers' datagrams (UDP).",
+///      "description": "UDP address and port for peers' datagrams.",
 ///      "type": "string"
 ///    },
 ///    "place": {
-///      "description": "Data centre that this VM stands in.",
+///      "description": "Name of the data centre of this VM.",
 ///      "type": "string"
 ///    },
 ///    "platform": {
-///      "description": "Addresses of the configuration service, tried in turn.",
+///      "description": "IP addresses and ports of the configuration service, tried in turn.",
 ///      "type": "array",
 ///      "items": {
 ///        "type": "string"
 ///      }
 ///    },
 ///    "seeds": {
-///      "description": "Callers' addresses of peers that a starting node asks when the platform is down.",
+///      "description": "Caller addresses of peers that a starting node queries while the platform is unavailable.",
 ///      "default": [],
 ///      "type": "array",
 ///      "items": {
@@ -127,7 +127,7 @@
 ///      }
 ///    },
 ///    "silence_ms": {
-///      "description": "Silence in milliseconds after which a stream counts as dead, 100 to 600000.",
+///      "description": "Idle time in milliseconds after which a stream counts as dead, 100 to 600000.",
 ///      "default": 5000,
 ///      "type": "integer",
 ///      "format": "uint32",
@@ -144,12 +144,12 @@
     ///Largest request body in kilobytes, 1 to 65536.
     #[serde(default = "defaults::default_u64::<u32, 4096>")]
     pub body_limit_kb: u32,
-    ///Longest time in milliseconds for a caller to send its head or its body, 100 to 120000.
+    ///Timeout in milliseconds for receiving a request's head, and for its body, 100 to 120000.
     #[serde(default = "defaults::default_u64::<u32, 10000>")]
     pub body_timeout_ms: u32,
-    ///IP address and port that callers, operators and peers' RPC reach by TCP.
+    ///TCP address and port for callers, operators and peers' RPC.
     pub callers: ::std::string::String,
-    ///Longest graceful shutdown in seconds, 1 to 86400.
+    ///Maximum duration of a graceful shutdown in seconds, 1 to 86400.
     #[serde(default = "defaults::default_u64::<u32, 600>")]
     pub drain_s: u32,
     ///Log level: error, warn, info, debug or trace.
@@ -157,19 +157,19 @@
     pub log: ::std::string::String,
     ///Number of this VM in the VM list.
     pub node: u32,
-    ///Open caller connections, 16 to 65536.
+    ///Maximum number of open caller connections, 16 to 65536.
     #[serde(default = "defaults::default_u64::<u32, 8192>")]
     pub open_connections: u32,
-    ///IP address and port for peers' datagrams (UDP).
+    ///UDP address and port for peers' datagrams.
     pub peers: ::std::string::String,
-    ///Data centre that this VM stands in.
+    ///Name of the data centre of this VM.
     pub place: ::std::string::String,
-    ///Addresses of the configuration service, tried in turn.
+    ///IP addresses and ports of the configuration service, tried in turn.
     pub platform: ::std::vec::Vec<::std::string::String>,
-    ///Callers' addresses of peers that a starting node asks when the platform is down.
+    ///Caller addresses of peers that a starting node queries while the platform is unavailable.
     #[serde(default, skip_serializing_if = "::std::vec::Vec::is_empty")]
     pub seeds: ::std::vec::Vec<::std::string::String>,
-    ///Silence in milliseconds after which a stream counts as dead, 100 to 600000.
+    ///Idle time in milliseconds after which a stream counts as dead, 100 to 600000.
     #[serde(default = "defaults::default_u64::<u32, 5000>")]
     pub silence_ms: u32,
 }
