--- a/crates/peridotdeck-cli/src/ops.rs
+++ b/crates/peridotdeck-cli/src/ops.rs
@@ -21,7 +21,7 @@
             display("{}: {cause}", file.display())
             source(cause)
         }
-        /// The configuration is invalid; lists every mistake found.
+        /// The configuration is invalid; lists every mistake with the name that it concerns.
         Config(file: PathBuf, mistakes: Vec<String>) {
             display("{}: {} mistake(s)\n  {}", file.display(), mistakes.len(), mistakes.join("\n  "))
         }
--- a/crates/peridotdeck-cli/src/remote.rs
+++ b/crates/peridotdeck-cli/src/remote.rs
@@ -37,7 +37,7 @@
     method: &str,
     params: impl Serialize,
 ) -> Result<T, Error> {
-    let failed = |problem: String| Error::Response(address, what);
+    let failed = |problem: String| Error::Response(address, problem);
     let url = client::url(address, PATH).map_err(|cause| failed(cause.to_string()))?;
     let mut request = Request::new(Method::Post, url);
     let call = json!({"jsonrpc": "2.0", "id": 1, "method": method, "params": params}).to_string();
@@ -46,10 +46,7 @@
     let sent = client::request(address, request, RESPONSE_TIMEOUT).await;
     let mut response = sent.map_err(|cause| Error::Call(address, cause))?;
     if !response.status().is_success() {
-        return Err(failed(format!(
-            "the node refused the request with status {}",
-            response.status()
-        )));
+        return Err(failed(format!("refused with status {}", response.status())));
     }
     let mut body: Value = response
         .body_json()
@@ -66,7 +63,7 @@
 /// # Errors
 /// Fails if the node cannot be reached or refuses the request.
 pub async fn fetch_page(address: SocketAddr, path: &str) -> Result<String, Error> {
-    let failed = |problem: String| Error::Response(address, what);
+    let failed = |problem: String| Error::Response(address, problem);
     let url = client::url(address, path).map_err(|cause| failed(cause.to_string()))?;
     let sent = client::request(address, Request::new(Method::Get, url), RESPONSE_TIMEOUT).await;
     let mut response = sent.map_err(|cause| Error::Call(address, cause))?;
