--- a/crates/peridotdeck-cli/src/main.rs
+++ b/crates/peridotdeck-cli/src/main.rs
@@ -48,7 +48,7 @@
         #[bpaf(positional("SERVICE"))]
         service: String,
     },
-    /// Shows the state of a relay node on the users' platform, or its decision for a route.
+    /// Shows a relay node's state on the users' platform, or its estimates for a route's endpoints.
     #[bpaf(command)]
     Inspect {
         /// Name of the route to explain.
--- a/crates/peridotdeck-cli/src/ops.rs
+++ b/crates/peridotdeck-cli/src/ops.rs
@@ -186,7 +186,9 @@
     lines.join("\n")
 }
 
-/// Fetches the state of a relay node, or its explanation of a request if a route is given.
+/// Fetches a relay node's state or, for a route, its estimate for each endpoint.
+///
+/// The request that the estimates assume has a prompt of `tokens` tokens.
 ///
 /// # Errors
 /// Fails if the node does not answer, or does not know the route.
