--- a/crates/peridotdeck-settings/src/generated.rs
+++ b/crates/peridotdeck-settings/src/generated.rs
@@ -75,7 +75,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "callers": {
-///      "description": "TCP address and port for callers, operators and peers' RPC.",
+///      "description": "IP address and TCP port for callers, operators and peers' RPC.",
 ///      "type": "string"
 ///    },
 ///    "drain_s": {
@@ -104,7 +104,7 @@
 ///      "minimum": 0.0
 ///    },
 ///    "peers": {
-///      "description": "UDP address and port for peers' datagrams.",
+///      "description": "IP address and UDP port for peers' datagrams.",
 ///      "type": "string"
 ///    },
 ///    "place": {
@@ -147,7 +147,7 @@
     ///Timeout in milliseconds for receiving a request's head, and for its body, 100 to 120000.
     #[serde(default = "defaults::default_u64::<u32, 10000>")]
     pub body_timeout_ms: u32,
-    ///TCP address and port for callers, operators and peers' RPC.
+    ///IP address and TCP port for callers, operators and peers' RPC.
     pub callers: ::std::string::String,
     ///Maximum duration of a graceful shutdown in seconds, 1 to 86400.
     #[serde(default = "defaults::default_u64::<u32, 600>")]
@@ -160,7 +160,7 @@
     ///Maximum number of open caller connections, 16 to 65536.
     #[serde(default = "defaults::default_u64::<u32, 8192>")]
     pub open_connections: u32,
-    ///UDP address and port for peers' datagrams.
+    ///IP address and UDP port for peers' datagrams.
     pub peers: ::std::string::String,
     ///Name of the data centre of this VM.
     pub place: ::std::string::String,
