--- a/crates/peridotdeck-settings/src/check.rs
+++ b/crates/peridotdeck-settings/src/check.rs
@@ -38,7 +38,8 @@
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// Fails on an invalid file; the error names the file, the faulty key and the remedy.
+/// Fails on an unreadable or invalid file.
+/// The error names the file, the faulty key and the remedy.
 pub fn load(path: &Path) -> Result<Settings, Error> {
     let file = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|cause| Error::Read(file.clone(), cause))?;
@@ -48,7 +49,7 @@
 /// Parses and checks the text of a settings file; errors name it as `file`.
 ///
 /// # Errors
-/// Fails on an invalid file; the error names the file, the faulty key and the remedy.
+/// Fails on invalid text; the error names the file, the faulty key and the remedy.
 pub fn parse(text: &str, file: &str) -> Result<Settings, Error> {
     let settings: Settings =
         toml::from_str(text).map_err(|cause| Error::Syntax(file.to_owned(), cause))?;
